--- a/core/rate/divide_test.go
+++ b/core/rate/divide_test.go
@@ -24,13 +24,13 @@
 
 func TestDivisionIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := coltsfootward.Rate{
+		limit := coltsfootward.Rate{
 			PerSecond: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
 			Burst:     rapid.Int64Range(1, 1e6).Draw(t, "burst"),
 		}
 		domains := domainNames(rapid.IntRange(1, 18).Draw(t, "domains"))
 		slots := rapid.IntRange(1, 64).Draw(t, "slots")
-		division := rate.Divide("traders", whole, domains, slots)
+		division := rate.Divide("traders", limit, domains, slots)
 		var rates, bursts int64
 		used := make(map[string]bool)
 		for _, p := range division {
@@ -41,53 +41,53 @@
 				t.Fatalf("got part %+v, want at least one token in a slot below %d", p, slots)
 			}
 		}
-		if bursts != whole.Burst || rates != int64(whole.PerSecond*rate.Token) {
-			t.Fatalf("got burst %d, rate %d; want %d, %d", bursts, rates, whole.Burst, int64(whole.PerSecond*rate.Token))
+		if bursts != limit.Burst || rates != int64(limit.PerSecond*rate.Token) {
+			t.Fatalf("got burst %d, rate %d; want %d, %d", bursts, rates, limit.Burst, int64(limit.PerSecond*rate.Token))
 		}
 		if len(used) != len(division) {
 			t.Fatalf("got %d parts in %d slots, want a slot each", len(division), len(used))
 		}
 		slices.Reverse(domains)
-		if again := rate.Divide("traders", whole, domains, slots); !slices.Equal(again, division) {
+		if again := rate.Divide("traders", limit, domains, slots); !slices.Equal(again, division) {
 			t.Fatalf("got %v for the domains in another order, want %v", again, division)
 		}
 	})
 }
 
-// reference is the naive bucket that the whole fleet is compared with: one
-// bucket of the organisation's full burst and rate that sees every request as
-// it starts.
+// reference is the central token bucket that the distributed buckets are
+// compared with: a single bucket with the organisation's full burst and rate
+// that counts every request when it starts.
 type reference struct {
 	burst, rate float64
 	level       float64
-	at          time.Duration
+	last        time.Duration
 }
 
-func newReference(whole coltsfootward.Rate) *reference {
-	return &reference{burst: float64(whole.Burst), rate: whole.PerSecond, level: float64(whole.Burst)}
+func newReference(limit coltsfootward.Rate) *reference {
+	return &reference{burst: float64(limit.Burst), rate: limit.PerSecond, level: float64(limit.Burst)}
 }
 
-// start takes a token for a request that starts at now and reports whether
-// there was one: if not, some window that ends now holds too many.
+// start takes a token for a request that starts at now and reports whether one
+// was available. If not, some window that ends at now has too many starts.
 func (r *reference) start(now time.Duration) bool {
 	const rounding = 1e-6
-	r.level = min(r.burst, r.level+r.rate*(now-r.at).Seconds())
-	r.at = now
+	r.level = min(r.burst, r.level+r.rate*(now-r.last).Seconds())
+	r.last = now
 	r.level--
 	return r.level > -rounding
 }
 
-// An organisation gets more than its burst and rate although no bucket ever
-// gave more than its own: tokens drawn in one second are saved up and spent
-// together with those of the next.
-func TestPartBoundWithLateSpending(t *testing.T) {
+// Guards against an organisation exceeding its burst and rate although every
+// bucket keeps its own bound: tokens drawn in one second are kept and spent
+// together with those drawn in the next.
+func TestLateSpendingKeepsPartBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rate.Part{
 			Rate:  int64(rapid.Float64Range(0.1, 200).Draw(t, "rate") * rate.Token),
 			Burst: rapid.Int64Range(1, 40).Draw(t, "burst"),
 		}
 		bucket := rate.NewFullBucket(part, 0)
-		naive := newReference(coltsfootward.Rate{PerSecond: float64(part.Rate) / rate.Token, Burst: part.Burst})
+		central := newReference(coltsfootward.Rate{PerSecond: float64(part.Rate) / rate.Token, Burst: part.Burst})
 		var spends []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "draws") {
@@ -100,8 +100,8 @@
 		}
 		slices.Sort(spends)
 		for _, at := range spends {
-			if !naive.start(at) {
-				t.Fatalf("got a start at %s beyond the naive bucket of %+v (shape %+v)", at, part, part.Shape())
+			if !central.start(at) {
+				t.Fatalf("got a start at %s beyond the central bucket of %+v (parameters %+v)", at, part, part.Shape())
 			}
 		}
 	})
@@ -130,35 +130,36 @@
 	}
 }
 
-// Operators move an organisation from a small burst to a large one, so that
-// its share spreads from one failure domain to four. One holder hears of it
-// ten seconds after the others, and for that long the sum of the parts must
-// not be above both the old rate and the new.
-func TestDivisionChangeNeverAddsUp(t *testing.T) {
+// Guards against a configuration change that raises the total limit for a while.
+// An organisation's burst changes from small to large, so that its parts spread
+// from one failure domain to four, and one holder receives the change ten
+// seconds after the others. During that time the sum of the parts must not
+// exceed both the old and the new limit.
+func TestDivisionChangeKeepsLimit(t *testing.T) {
 	domains := domainNames(4)
 	rapid.Check(t, func(t *rapid.T) {
 		const spread = 13 * time.Second
 		var shares [4]rate.Share
-		wholes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) coltsfootward.Rate {
+		limits := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) coltsfootward.Rate {
 			return coltsfootward.Rate{PerSecond: rapid.Float64Range(1, 100).Draw(t, "rate"), Burst: rapid.Int64Range(1, 40).Draw(t, "burst")}
 		}), 2, 5).Draw(t, "changes")
-		type news struct{ at, index, holder int }
-		var arrivals []news
+		type arrival struct{ at, index, holder int }
+		var arrivals []arrival
 		at := 0
-		for i := range wholes {
+		for i := range limits {
 			at += rapid.IntRange(0, 20).Draw(t, "gap")
 			for holder := range shares {
 				delay := rapid.IntRange(0, int(spread/time.Second)-1).Draw(t, "delay")
-				arrivals = append(arrivals, news{at: at + delay, index: i, holder: holder})
+				arrivals = append(arrivals, arrival{at: at + delay, index: i, holder: holder})
 			}
 		}
-		seen := [4]int{-1, -1, -1, -1}
+		applied := [4]int{-1, -1, -1, -1}
 		for second := range at + 60 {
 			now := coltsfootward.At(time.Duration(second) * time.Second)
 			for _, n := range arrivals {
-				for n.at == second && n.index > seen[n.holder] {
-					seen[n.holder]++
-					shares[n.holder].Change(now, rate.Divide("traders", wholes[seen[n.holder]], domains, 1), spread+rate.MaximumLife)
+				for n.at == second && n.index > applied[n.holder] {
+					applied[n.holder]++
+					shares[n.holder].Change(now, rate.Divide("traders", limits[applied[n.holder]], domains, 1), spread+rate.MaximumLife)
 				}
 			}
 			var rates, bursts int64
@@ -168,7 +169,7 @@
 				bursts += p.Burst
 			}
 			var mostRate, mostBurst int64
-			for _, w := range wholes {
+			for _, w := range limits {
 				mostRate = max(mostRate, int64(w.PerSecond*rate.Token))
 				mostBurst = max(mostBurst, w.Burst)
 			}
