--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,8 +1,9 @@
-// Package placement chooses the backend server for each attempt: the better of
-// two random ones out of a stable subset of the service's, in the node's own
-// failure domain as long as there is room.
+// Package placement selects the backend server for each attempt. It picks the
+// better of two random servers out of a stable subset of the service's servers
+// (power of two choices), and prefers the node's own failure domain while its
+// servers have room.
 //
-// It goes by what comes back with answers and by what the node itself has
-// under way, never by reported health. A Pool is not safe for concurrent use;
-// time and randomness come from the caller.
+// The decision is based on the load reported with responses and on the node's
+// own requests in flight, never on reported health. A Pool is not safe for
+// concurrent use. The caller supplies the time and the random source.
 package placement
--- a/core/placement/level.go
+++ b/core/placement/level.go
@@ -7,87 +7,92 @@
 )
 
 const (
-	// allRanks is above every shed rank.
-	allRanks = 1 << 30
-	// levelRise is how far a shed level rises per second without news. Whoever
-	// sheds everything hears nothing more from the servers, and without the rise
-	// would go on shedding for good.
-	levelRise = allRanks
-	// levelHold is how long a level stays before it rises. News of one kind of
-	// request comes a few times a second to a node; a level that rose from the
-	// first moment would let most of an overload through between two answers.
+	// acceptAllLevel is a shed level above every shed rank: no request is shed.
+	acceptAllLevel = 1 << 30
+	// levelRisePerSecond is how far a shed level rises per second without a new
+	// report. A node that sheds everything receives no more reports from the
+	// servers, and without the rise would shed for ever.
+	levelRisePerSecond = acceptAllLevel
+	// levelHold is how long a level stays constant before it rises. A node
+	// receives a few reports per second for one kind of request. A level that rose
+	// at once would let most of an overload pass between two reports.
 	levelHold = 300 * time.Millisecond
-	// levelFall is how much of the way one answer lowers a level. A single full
-	// server must not make a node shed what others would serve.
-	levelFall = 0.8
-	// levelLife is when a level has risen to the top from wherever it was.
-	levelLife = 2 * time.Second
+	// levelFallFactor is the fraction of the distance to a lower reported level by
+	// which one report lowers a level. A single full server must not make a node
+	// shed requests that other servers would serve.
+	levelFallFactor = 0.8
+	// levelLifetime is the time within which a level without reports rises to
+	// acceptAllLevel from any value, and the interval at which such levels are
+	// removed.
+	levelLifetime = 2 * time.Second
 )
 
-// Kind says whose requests of which class a shed level is for.
+// Kind identifies the requests that a shed level applies to: those of one class
+// from one organisation.
 type Kind struct {
 	Organisation coltsfootward.OrganisationName
 	Class        string
 }
 
-// levels are the shed levels of a service as its answers told them, one for
-// each kind of request. An answer that accepts more counts at once, one that
-// accepts less mostly, so that the level stays with the servers that still
-// have room.
-type levels struct {
-	known map[Kind]level
-	swept time.Duration
+// shedLevels are the shed levels that a service's servers report with their
+// responses, one for each kind of request. A report that raises a level is
+// applied at once, one that lowers it only partly, so that the level follows the
+// servers that still have room.
+type shedLevels struct {
+	byKind    map[Kind]shedLevel
+	lastSweep time.Duration
 }
 
-type level struct {
-	rank float64
-	at   time.Duration
+type shedLevel struct {
+	rank       float64
+	reportedAt time.Duration
 }
 
-func (l level) risen(now time.Duration) float64 {
-	return l.rank + levelRise*max(now-l.at-levelHold, 0).Seconds()
+// effective returns the level at now, raised by the time without reports.
+func (l shedLevel) effective(now time.Duration) float64 {
+	return l.rank + levelRisePerSecond*max(now-l.reportedAt-levelHold, 0).Seconds()
 }
 
-// observe takes in the level that came back with an answer; zero means that
-// all is accepted.
-func (l *levels) observe(now time.Duration, kind Kind, rank uint32) {
+// observe applies the shed level reported with a response. Zero means that the
+// server accepts all requests.
+func (l *shedLevels) observe(now time.Duration, kind Kind, rank uint32) {
 	l.sweep(now)
-	told := float64(rank)
+	reported := float64(rank)
 	if rank == 0 {
-		told = allRanks
+		reported = acceptAllLevel
 	}
-	old, ok := l.known[kind]
-	before := float64(allRanks)
+	previous, ok := l.byKind[kind]
+	current := float64(acceptAllLevel)
 	if ok {
-		before = min(old.risen(now), allRanks)
+		current = min(previous.effective(now), acceptAllLevel)
 	}
-	if told < before {
-		told = before + levelFall*(told-before)
+	if reported < current {
+		reported = current + levelFallFactor*(reported-current)
 	}
-	if told >= allRanks {
-		delete(l.known, kind)
+	if reported >= acceptAllLevel {
+		delete(l.byKind, kind)
 		return
 	}
-	if l.known == nil {
-		l.known = make(map[Kind]level)
+	if l.byKind == nil {
+		l.byKind = make(map[Kind]shedLevel)
 	}
-	l.known[kind] = level{rank: told, at: now}
+	l.byKind[kind] = shedLevel{rank: reported, reportedAt: now}
 }
 
-// sweep forgets once in a while what has risen to the top.
-func (l *levels) sweep(now time.Duration) {
-	if now-l.swept < levelLife {
+// sweep periodically removes the levels that have risen to acceptAllLevel.
+func (l *shedLevels) sweep(now time.Duration) {
+	if now-l.lastSweep < levelLifetime {
 		return
 	}
-	l.swept = now
-	for kind, known := range l.known {
-		if known.risen(now) >= allRanks {
-			delete(l.known, kind)
+	l.lastSweep = now
+	for kind, level := range l.byKind {
+		if level.effective(now) >= acceptAllLevel {
+			delete(l.byKind, kind)
 		}
 	}
 }
 
-func (l *levels) sheds(now time.Duration, kind Kind, rank uint32) bool {
-	known, ok := l.known[kind]
-	return ok && float64(rank) > known.risen(now)
+func (l *shedLevels) sheds(now time.Duration, kind Kind, rank uint32) bool {
+	level, ok := l.byKind[kind]
+	return ok && float64(rank) > level.effective(now)
 }
--- a/core/placement/pool.go
+++ b/core/placement/pool.go
@@ -13,42 +13,45 @@
 )
 
 const (
-	// SubsetSize is how many backend servers of a service a node spreads its
-	// requests over. Two choices need few candidates, and each one costs a
-	// connection at both ends.
+	// SubsetSize is the number of a service's backend servers over which a node
+	// spreads its requests. Power of two choices needs few candidates, and each
+	// candidate costs a connection at both ends.
 	SubsetSize = 16
-	// ownDomainPart is how many places of the subset go to the node's own
-	// failure domain first.
-	ownDomainPart = 8
-	// spillOccupancy is how full the own domain's choice must look before one
-	// in another domain is considered: beyond it requests would wait here while
-	// slots are free there.
+	// ownDomainSize is the number of servers of the subset that are reserved for
+	// the node's own failure domain.
+	ownDomainSize = 8
+	// spillOccupancy is the occupancy of the server chosen in the own failure
+	// domain from which servers in other domains are considered. Above it,
+	// requests would queue in the own domain while other domains have free slots.
 	spillOccupancy = 0.8
-	// slowPenalty is the latency, in multiples of the quickest alternative's,
-	// beyond which a server counts as fuller than it says.
+	// slowPenalty is the ratio of a server's latency to that of the other candidate
+	// above which the server's occupancy is multiplied by this ratio.
 	slowPenalty = 2.0
 )
 
-// Pool is the backend servers of one service as one node sees them. Create it
-// with NewPool.
+// Pool holds the state that one node keeps about the backend servers of one
+// service. Create it with NewPool.
 type Pool struct {
 	self      coltsfootward.Instance
 	reachable func(coltsfootward.FailureDomain) bool
 	upstreams map[coltsfootward.InstanceID]*upstream
-	own       []*upstream
-	other     []*upstream
-	stale     bool
-	// bounded is set if cold servers bear less than all.
-	bounded bool
-	// sparesCold is set while cold servers get nothing, until spareUntil, when it is
-	// looked at again.
-	sparesCold bool
-	spareUntil time.Duration
-	levels     levels
+	// own and other are the servers of the subset in the node's own failure domain
+	// and in other domains.
+	own   []*upstream
+	other []*upstream
+	// subsetStale is set if the subset must be computed again.
+	subsetStale bool
+	// coldLimited is set if cold servers have a limited capacity.
+	coldLimited bool
+	// coldExcluded is set while cold servers get no requests. It is computed again at
+	// nextColdCheck.
+	coldExcluded  bool
+	nextColdCheck time.Duration
+	levels        shedLevels
 }
 
-// NewPool returns an empty pool of the node self. reachable says which failure
-// domains can be reached; nil means all.
+// NewPool returns an empty pool for the node self. reachable reports whether a
+// failure domain can be reached; nil means that all can.
 func NewPool(self coltsfootward.Instance, reachable func(coltsfootward.FailureDomain) bool) *Pool {
 	if reachable == nil {
 		reachable = func(coltsfootward.FailureDomain) bool { return true }
@@ -56,50 +59,51 @@
 	return &Pool{self: self, reachable: reachable, upstreams: make(map[coltsfootward.InstanceID]*upstream)}
 }
 
-// Set adds a backend server or changes its slots. A server that was not known
-// before starts slowly if fresh is set.
-func (p *Pool) Set(now time.Duration, instance coltsfootward.Instance, slots int, fresh bool) {
+// Set adds a backend server or updates its instance and its number of slots. If
+// restarted is set, the server's share of requests grows gradually from now and
+// its last load report is discarded.
+func (p *Pool) Set(now time.Duration, instance coltsfootward.Instance, slots int, restarted bool) {
 	u, ok := p.upstreams[instance.ID]
 	if !ok {
-		u = &upstream{id: instance.ID, domain: instance.Domain, bounded: p.bounded}
+		u = &upstream{id: instance.ID, domain: instance.Domain, coldLimited: p.coldLimited}
 		p.upstreams[instance.ID] = u
-		p.stale = true
+		p.subsetStale = true
 	}
 	u.instance = instance
-	if fresh {
-		u.joined = now
-		u.loaded = false
+	if restarted {
+		u.slowStartedAt = now
+		u.hasLoad = false
 	}
 	u.slots = slots
 }
 
-// SetCold adds a backend server or changes its slots, like Set. left is how much
-// longer it is cold; zero means that it gets its full share.
-func (p *Pool) SetCold(now time.Duration, instance coltsfootward.Instance, slots int, left time.Duration) {
+// SetCold adds or updates a backend server like Set. remaining is how much longer
+// the server is cold; zero means that it gets its full share.
+func (p *Pool) SetCold(now time.Duration, instance coltsfootward.Instance, slots int, remaining time.Duration) {
 	p.Set(now, instance, slots, false)
 	u := p.upstreams[instance.ID]
-	u.setCold(now, left)
-	if left > 0 {
-		u.joined = now - slowStart + min(left, slowStart)
+	u.setCold(now, remaining)
+	if remaining > 0 {
+		u.slowStartedAt = now - slowStartDuration + min(remaining, slowStartDuration)
 	}
 }
 
-// BoundCold says whether cold servers bear less than all. If not, a cold one is only
-// slow, and begins with a smaller share.
-func (p *Pool) BoundCold(bounded bool) {
-	if p.bounded == bounded {
+// BoundCold sets whether cold servers have a limited capacity. If they have not, a
+// cold server is only slower and starts with a smaller share of the requests.
+func (p *Pool) BoundCold(limited bool) {
+	if p.coldLimited == limited {
 		return
 	}
-	p.bounded = bounded
+	p.coldLimited = limited
 	for _, u := range p.upstreams {
-		u.bounded = bounded
+		u.coldLimited = limited
 	}
 }
 
-// Warmth returns the part of the reachable servers' slots that are not at cold
-// servers, and how long it takes until all are warm. Without any server that is
-// nothing.
-func (p *Pool) Warmth(now time.Duration) (part float64, wait time.Duration) {
+// Warmth returns the share of the reachable servers' slots that are not on cold
+// servers, and the time until all servers are warm. A cold server counts with
+// the slots of its limited capacity. Without reachable servers both are zero.
+func (p *Pool) Warmth(now time.Duration) (share float64, wait time.Duration) {
 	var warm, all float64
 	for _, u := range p.upstreams {
 		if !p.reachable(u.domain) {
@@ -120,7 +124,8 @@
 	return warm / all, wait
 }
 
-// Instance returns where a backend server of the pool runs.
+// Instance returns the instance of a backend server of the pool, or false if the
+// pool has no such server.
 func (p *Pool) Instance(id coltsfootward.InstanceID) (coltsfootward.Instance, bool) {
 	u, ok := p.upstreams[id]
 	if !ok {
@@ -129,33 +134,33 @@
 	return u.instance, true
 }
 
-// Suspect says whether a backend server's node is suspected to be gone. It gets
-// no request then as long as there are others.
+// Suspect sets whether a backend server's node is suspected to have failed. A
+// suspected server gets requests only if no other server is available.
 func (p *Pool) Suspect(id coltsfootward.InstanceID, suspected bool) {
 	if u, ok := p.upstreams[id]; ok {
 		u.suspected = suspected
 	}
 }
 
-// Remove forgets a backend server that is leaving or gone.
+// Remove removes a backend server that is leaving or gone.
 func (p *Pool) Remove(id coltsfootward.InstanceID) {
 	if _, ok := p.upstreams[id]; ok {
 		delete(p.upstreams, id)
-		p.stale = true
+		p.subsetStale = true
 	}
 }
 
-// Len returns the number of backend servers known.
+// Len returns the number of backend servers in the pool.
 func (p *Pool) Len() int { return len(p.upstreams) }
 
-// subset picks by rendezvous hashing: every node has its own stable choice,
-// each server is chosen by about equally many nodes, and a server that joins
-// or leaves moves no other.
-func (p *Pool) subset() {
-	if !p.stale {
+// updateSubset computes the subset by rendezvous hashing if servers were added or
+// removed. Each node has its own stable subset, each server is in about equally
+// many subsets, and a server that joins or leaves does not move the others.
+func (p *Pool) updateSubset() {
+	if !p.subsetStale {
 		return
 	}
-	p.stale = false
+	p.subsetStale = false
 	all := make([]*upstream, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
 		all = append(all, u)
@@ -172,55 +177,56 @@
 			p.other = append(p.other, u)
 		}
 	}
-	p.own = p.own[:min(len(p.own), max(ownDomainPart, SubsetSize-len(p.other)))]
+	p.own = p.own[:min(len(p.own), max(ownDomainSize, SubsetSize-len(p.other)))]
 	p.other = p.other[:min(len(p.other), SubsetSize-len(p.own))]
 }
 
-// Choose returns the server for an attempt, or false if there is none that
-// tried does not hold.
+// Choose returns the server for an attempt, or false if every reachable server is
+// in tried.
 func (p *Pool) Choose(now time.Duration, source *rand.Rand, tried map[coltsfootward.InstanceID]bool) (coltsfootward.Instance, bool) {
-	p.subset()
-	near := p.two(now, source, p.own, tried)
+	p.updateSubset()
+	near := p.bestOfTwo(now, source, p.own, tried)
 	if near != nil && near.occupancy(now) < spillOccupancy {
 		return near.instance, true
 	}
-	far := p.two(now, source, p.other, tried)
-	if best := better(now, near, far); best != nil {
+	far := p.bestOfTwo(now, source, p.other, tried)
+	if best := lessLoaded(now, near, far); best != nil {
 		return best.instance, true
 	}
-	return p.any(tried)
+	return p.fallback(tried)
 }
 
-// two returns the better of two servers picked at random. A server that may
-// get a trial request is one of the candidates like any other: it gets a
-// single request, so its share is bounded.
-func (p *Pool) two(now time.Duration, source *rand.Rand, from []*upstream, tried map[coltsfootward.InstanceID]bool) *upstream {
-	first := p.pick(now, source, from, tried, nil)
+// bestOfTwo returns the less loaded of two servers picked at random. An ejected
+// server that is due for a trial request is a candidate like the others: it gets
+// a single request, so its share is bounded.
+func (p *Pool) bestOfTwo(now time.Duration, source *rand.Rand, from []*upstream, tried map[coltsfootward.InstanceID]bool) *upstream {
+	first := p.pickRandom(now, source, from, tried, nil)
 	if first == nil {
 		return nil
 	}
-	return better(now, first, p.pick(now, source, from, tried, first))
+	return lessLoaded(now, first, p.pickRandom(now, source, from, tried, first))
 }
 
-// pick walks from a random place to the first server that may get a request.
-func (p *Pool) pick(now time.Duration, source *rand.Rand, from []*upstream, tried map[coltsfootward.InstanceID]bool, but *upstream) *upstream {
+// pickRandom returns the first available server other than exclude, starting at a
+// random index.
+func (p *Pool) pickRandom(now time.Duration, source *rand.Rand, from []*upstream, tried map[coltsfootward.InstanceID]bool, exclude *upstream) *upstream {
 	if len(from) == 0 {
 		return nil
 	}
 	start := source.IntN(len(from))
 	for i := range from {
 		u := from[(start+i)%len(from)]
-		if u != but && !tried[u.id] && p.available(now, u) {
+		if u != exclude && !tried[u.id] && p.available(now, u) {
 			return u
 		}
 	}
 	return nil
 }
 
-// better returns the server with the lower occupancy, of which a slow one has
-// more than it says: its requests stay longer, so the same occupancy means a
+// lessLoaded returns the server with the lower occupancy. The occupancy of a slow
+// server is scaled up: its requests take longer, so the same occupancy means a
 // longer wait.
-func better(now time.Duration, a, b *upstream) *upstream {
+func lessLoaded(now time.Duration, a, b *upstream) *upstream {
 	if a == nil {
 		return b
 	}
@@ -233,6 +239,8 @@
 	return a
 }
 
+// slowness returns the factor by which the server's occupancy is scaled up
+// compared with other's.
 func (u *upstream) slowness(other *upstream) float64 {
 	if other.latency == 0 || u.latency <= slowPenalty*other.latency {
 		return 1
@@ -241,33 +249,35 @@
 }
 
 func (p *Pool) available(now time.Duration, u *upstream) bool {
-	return u.available(now) && p.reachable(u.domain) && !(u.cold(now) && p.spares(now))
+	return u.available(now) && p.reachable(u.domain) && !(u.cold(now) && p.excludesCold(now))
 }
 
 const (
-	// spareFrom is the part of the slots that must be at warm servers for cold ones to
-	// be spared.
-	spareFrom = 0.5
-	// spareInterval is the time between two looks at that.
-	spareInterval = 100 * time.Millisecond
+	// minimumWarmShare is the share of slots on warm servers from which cold servers
+	// get no requests.
+	minimumWarmShare = 0.5
+	// coldCheckInterval is how often the share of warm slots is computed.
+	coldCheckInterval = 100 * time.Millisecond
 )
 
-// spares reports whether cold servers get nothing. The little that one bears is soon
-// used up, and under an overload, when the warm ones are fuller, every request would
-// go there first to be refused. With most servers cold, what they bear counts.
-func (p *Pool) spares(now time.Duration) bool {
-	if now >= p.spareUntil {
-		p.spareUntil = now + spareInterval
-		part, _ := p.Warmth(now)
-		p.sparesCold = part >= spareFrom
-	}
-	return p.sparesCold
+// excludesCold reports whether cold servers get no requests. The small capacity of
+// a cold server is soon used up, and under an overload, when the warm servers are
+// fuller, every request would go to a cold server first and be refused there. If
+// most servers are cold, their capacity is needed.
+func (p *Pool) excludesCold(now time.Duration) bool {
+	if now >= p.nextColdCheck {
+		p.nextColdCheck = now + coldCheckInterval
+		share, _ := p.Warmth(now)
+		p.coldExcluded = share >= minimumWarmShare
+	}
+	return p.coldExcluded
 }
 
-// any returns a server that was not tried, ejected or suspected as it may be:
-// with all of the subset so, a doubtful server is better than none. It looks at
-// all servers only when the whole subset was tried.
-func (p *Pool) any(tried map[coltsfootward.InstanceID]bool) (coltsfootward.Instance, bool) {
+// fallback returns a reachable server that is not in tried, even if it is ejected,
+// suspected or cold: if no server of the subset is available, such a server is
+// better than none. Servers outside the subset are considered only if all of the
+// subset was tried or is unreachable.
+func (p *Pool) fallback(tried map[coltsfootward.InstanceID]bool) (coltsfootward.Instance, bool) {
 	for _, from := range [][]*upstream{p.own, p.other} {
 		for _, u := range from {
 			if !tried[u.id] && p.reachable(u.domain) {
@@ -275,7 +285,7 @@
 			}
 		}
 	}
-	for _, id := range p.sorted() {
+	for _, id := range p.sortedIDs() {
 		if u := p.upstreams[id]; !tried[id] && p.reachable(u.domain) {
 			return u.instance, true
 		}
@@ -283,7 +293,7 @@
 	return coltsfootward.Instance{}, false
 }
 
-func (p *Pool) sorted() []coltsfootward.InstanceID {
+func (p *Pool) sortedIDs() []coltsfootward.InstanceID {
 	ids := make([]coltsfootward.InstanceID, 0, len(p.upstreams))
 	for id := range p.upstreams {
 		ids = append(ids, id)
@@ -292,15 +302,16 @@
 	return ids
 }
 
-// Census counts the backend servers by what keeps them from getting a request. One
-// may count under several heads.
-type Census struct {
+// CandidateCounts counts the backend servers by the reason that excludes them from
+// a request. A server with several reasons is counted for each.
+type CandidateCounts struct {
 	Known, Tried, Ejected, Suspected, Unreachable int
 }
 
-// Census counts the servers for a request that has tried some of them.
-func (p *Pool) Census(now time.Duration, tried map[coltsfootward.InstanceID]bool) Census {
-	c := Census{Known: len(p.upstreams), Tried: len(tried)}
+// Census counts the servers of the pool for a request that was sent to those in
+// tried.
+func (p *Pool) Census(now time.Duration, tried map[coltsfootward.InstanceID]bool) CandidateCounts {
+	c := CandidateCounts{Known: len(p.upstreams), Tried: len(tried)}
 	for _, u := range p.upstreams {
 		if u.ejected && !u.available(now) {
 			c.Ejected++
@@ -315,21 +326,22 @@
 	return c
 }
 
-// Sent says that an attempt went to a server.
+// Sent records that an attempt was sent to a server.
 func (p *Pool) Sent(id coltsfootward.InstanceID) {
 	if u, ok := p.upstreams[id]; ok {
-		u.sent()
+		u.attemptSent()
 	}
 }
 
-// Ended says that an attempt at a server ended.
+// Ended records the outcome of an attempt at a server. latency is the time since
+// the attempt was sent.
 func (p *Pool) Ended(now time.Duration, id coltsfootward.InstanceID, outcome Outcome, latency time.Duration) {
 	if u, ok := p.upstreams[id]; ok {
-		u.ended(now, outcome, latency)
+		u.attemptEnded(now, outcome, latency)
 	}
 }
 
-// Observe takes in the load that came back with an answer to a request.
+// Observe records the load that a server reported with its response to a request.
 func (p *Pool) Observe(now time.Duration, id coltsfootward.InstanceID, kind Kind, load message.Load) {
 	if u, ok := p.upstreams[id]; ok {
 		u.observeLoad(now, load)
@@ -337,7 +349,7 @@
 	}
 }
 
-// Load returns what a server last said of itself.
+// Load returns the load that a server reported last.
 func (p *Pool) Load(id coltsfootward.InstanceID) message.Load {
 	if u, ok := p.upstreams[id]; ok {
 		return u.load
@@ -345,15 +357,16 @@
 	return message.Load{}
 }
 
-// Lost forgets a server's load, whose node the connection broke to.
+// Lost discards the last load report of a server after the connection to its node
+// broke.
 func (p *Pool) Lost(id coltsfootward.InstanceID) {
 	if u, ok := p.upstreams[id]; ok {
-		u.loaded = false
+		u.hasLoad = false
 	}
 }
 
-// Sheds reports whether the service's servers would shed such a request, as far
-// as their answers told.
+// Sheds reports whether the service's servers would shed a request of the given
+// kind and shed rank, according to the levels that they reported.
 func (p *Pool) Sheds(now time.Duration, kind Kind, rank uint32) bool {
 	return p.levels.sheds(now, kind, rank)
 }
--- a/core/placement/pool_test.go
+++ b/core/placement/pool_test.go
@@ -23,8 +23,8 @@
 	return coltsfootward.Instance{ID: coltsfootward.InstanceID(fmt.Sprintf("%s-%d", domain, i)), Domain: domain}
 }
 
-// newPool returns a pool with some servers in the node's own failure domain
-// and some in another.
+// newPool returns a pool with the given numbers of servers in the failure domains
+// north and south.
 func newPool(self coltsfootward.Instance, own, other int) *placement.Pool {
 	p := placement.NewPool(self, nil)
 	for i := range own {
@@ -36,7 +36,7 @@
 	return p
 }
 
-// choose picks a server count times and returns how often each was picked.
+// choose calls Choose count times and returns how often each server was chosen.
 func choose(p *placement.Pool, now time.Duration, count int) map[coltsfootward.InstanceID]int {
 	source := rand.New(rand.NewPCG(1, 1))
 	picked := make(map[coltsfootward.InstanceID]int)
@@ -48,8 +48,8 @@
 	return picked
 }
 
-// Whatever happened to the servers before: as long as one is known that was
-// not tried, a request has somewhere to go, and never where it has been.
+// Guards against a request without a server, or with one that it has tried, while
+// an untried server is known. Earlier outcomes may have ejected any servers.
 func TestChooseAlwaysFindsAnUntriedServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := rand.New(rand.NewPCG(1, 1))
@@ -89,8 +89,9 @@
 	}
 }
 
-// A backend server breaks. After a few failures it gets one request at a time
-// to try it out, with growing pauses, and its share again after one success.
+// Guards against sending full load to a broken backend server. After a few
+// failures the server gets single trial requests at growing intervals, and its
+// full share again after one success.
 func TestEjectedServerGetsSingleTrials(t *testing.T) {
 	p := newPool(self, 2, 0)
 	fail := func(now time.Duration) {
@@ -122,8 +123,9 @@
 	}
 }
 
-// A restarted server is cold. Given a full share at once it times out on all
-// of it, so it starts with a part; load spreads by what each has under way.
+// Guards against sending a full share to a restarted server: a cold server times
+// out on all of it. The server starts with a part of its share, and the load is
+// spread by the requests in flight.
 func TestColdServerStartsSlowly(t *testing.T) {
 	p := newPool(self, 4, 0)
 	now := time.Minute
@@ -153,12 +155,12 @@
 	}
 }
 
-// A service has 100 servers and as many nodes call it. Each node keeps to 16,
-// each server is in about as many subsets, and a server that leaves changes
-// only the subsets that held it.
+// A service has 100 servers, and 100 nodes call it. Each node uses 16 of them, each
+// server is in about 16 subsets, and a server that leaves changes only the subsets
+// that contained it.
 func TestSubsetsAreStableAndEven(t *testing.T) {
 	const servers = 100
-	held := make(map[coltsfootward.InstanceID]int)
+	subsetCount := make(map[coltsfootward.InstanceID]int)
 	subset := func(p *placement.Pool) map[coltsfootward.InstanceID]int { return choose(p, time.Second, 400) }
 	changed := 0
 	for n := range servers {
@@ -168,7 +170,7 @@
 			t.Fatalf("got a subset of %d, want %d", len(before), placement.SubsetSize)
 		}
 		for id := range before {
-			held[id]++
+			subsetCount[id]++
 		}
 		p.Remove("south-7")
 		for id := range subset(p) {
@@ -177,21 +179,21 @@
 			}
 		}
 	}
-	if got, want := changed, held["south-7"]; got != want {
+	if got, want := changed, subsetCount["south-7"]; got != want {
 		t.Errorf("got %d servers new in subsets after one left, want %d", got, want)
 	}
-	for id, count := range held {
+	for id, count := range subsetCount {
 		if count < 4 || count > 32 {
 			t.Errorf("got %s in %d subsets, want about 16", id, count)
 		}
 	}
 }
 
-// Every server sheds the organisation's requests of low priority; the entry
-// node refuses them without a hop. News stops with them, so the level has to
-// rise by itself, or a single overload would shut the organisation out. One
-// server that still accepts them is enough to let them through.
-func TestShedLevelFollowsAnswersAndRises(t *testing.T) {
+// Guards against shedding an organisation's requests for ever after one overload.
+// Every server sheds the organisation's low-priority requests, so the entry node
+// refuses them without sending them. It then receives no more reports, and the
+// level must rise without them. The requests pass if one server accepts them.
+func TestShedLevelFollowsReportsAndRises(t *testing.T) {
 	p := newPool(self, 1, 1)
 	now := time.Minute
 	full := message.Load{Limit: 10, ShedLevel: 2 << 28}
@@ -237,8 +239,9 @@
 	}
 }
 
-// BenchmarkKnownServer reports the memory of one known server in bytes per operation.
-func BenchmarkKnownServer(b *testing.B) {
+// BenchmarkAddServer reports the memory that one server in the pool takes, in bytes
+// per operation.
+func BenchmarkAddServer(b *testing.B) {
 	p := placement.NewPool(self, nil)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/core/placement/upstream.go
+++ b/core/placement/upstream.go
@@ -9,106 +9,118 @@
 )
 
 const (
-	// loadLife is how fast a report of load loses its weight: after this long
-	// it counts a third. Load changes within a few service times, and an old
-	// report would send everybody to a server that was idle once.
-	loadLife = 500 * time.Millisecond
-	// slowStart is how long a server that has just joined takes to get its full
-	// share. A cold server given a full share at once times out on all of it.
-	slowStart = 3 * time.Second
-	// slowStartShare is the share that it begins with.
+	// loadDecayTime is the time constant with which a load report loses weight:
+	// after this time it counts about a third. Load changes within a few service
+	// times, and old reports would make all nodes send requests to a server that
+	// is no longer idle.
+	loadDecayTime = 500 * time.Millisecond
+	// slowStartDuration is the time in which a server that has just joined reaches
+	// its full share. A cold server that gets its full share at once times out on
+	// all requests.
+	slowStartDuration = 3 * time.Second
+	// slowStartShare is the fraction of its full share that a server starts with.
 	slowStartShare = 0.2
-	// latencyWeight is the weight of the newest latency.
+	// latencyWeight is the weight of the newest sample in the smoothed latency.
 	latencyWeight = 0.1
-	// ejectAfter is how many attempts in a row must fail to eject a server, and
-	// ejectFor for how long at first; it doubles up to ejectLongest.
-	ejectAfter   = 3
-	ejectFor     = 500 * time.Millisecond
-	ejectLongest = 8 * time.Second
+	// ejectAfterFailures is the number of consecutive failed attempts after which a
+	// server is ejected. The first ejection lasts minimumEjection; the time doubles
+	// with each further ejection up to maximumEjection.
+	ejectAfterFailures = 3
+	minimumEjection    = 500 * time.Millisecond
+	maximumEjection    = 8 * time.Second
 )
 
-// Outcome says how an attempt ended, as far as placement cares.
+// Outcome is the result of an attempt as far as it matters for placement.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeAnswered means that the backend server answered.
+	// OutcomeAnswered means that the backend server responded.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeRefused means that its node refused; that says nothing bad of the
-	// server's health.
+	// OutcomeRefused means that the server's node refused the attempt. This does
+	// not count against the server's health.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeFailed means that the attempt was lost, broke off or timed out.
+	// OutcomeFailed means that the attempt was lost, was aborted or timed out.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeLeft means that the caller left first.
+	// OutcomeLeft means that the attempt was cancelled before it ended.
 	OutcomeLeft Outcome = "left"
 )
 
-// upstream is what a node knows of one backend server.
+// upstream is the state that a node keeps about one backend server.
 type upstream struct {
 	id       coltsfootward.InstanceID
 	instance coltsfootward.Instance
 	domain   coltsfootward.FailureDomain
 	slots    int
-	joined   time.Duration
-	// coldUntil is when the server is warm by its own node's word; bounded is set if
-	// it bears less than all until then.
-	coldUntil time.Duration
-	bounded   bool
-	inFlight  int
-	load      message.Load
-	loadAt    time.Duration
-	loaded    bool
-	// latency is the smoothed time of its answers, in seconds.
+	// slowStartedAt is when the slow start of the server began; zero means that it
+	// has its full share.
+	slowStartedAt time.Duration
+	// coldUntil is when the server will be warm, as reported by its node.
+	// coldLimited is set if it has a limited capacity until then.
+	coldUntil   time.Duration
+	coldLimited bool
+	// inFlight is the number of this node's attempts at the server.
+	inFlight int
+	// load is the last load report and loadAt its time; hasLoad is set if there is
+	// one.
+	load    message.Load
+	loadAt  time.Duration
+	hasLoad bool
+	// latency is the smoothed response time in seconds.
 	latency float64
-	// failures counts attempts in a row that failed.
+	// failures is the number of consecutive failed attempts.
 	failures int
 	// ejectedUntil is when an ejected server gets its next trial request.
 	ejectedUntil time.Duration
 	ejected      bool
-	trial        bool
-	ejections    int
-	suspected    bool
+	// trialInFlight is set while a trial request at an ejected server is in flight.
+	trialInFlight bool
+	// ejections is the number of ejections since the last response.
+	ejections int
+	suspected bool
 }
 
-// coldLimit is how many requests at once a cold server counts as good for. It then
-// gets work when the others are full, or are cold as well.
+// coldLimit is the concurrency limit assumed for a cold server with limited
+// capacity. Such a server gets requests when the others are full or cold as well.
 const coldLimit = 1.0
 
-func (u *upstream) cold(now time.Duration) bool { return u.bounded && now < u.coldUntil }
+func (u *upstream) cold(now time.Duration) bool { return u.coldLimited && now < u.coldUntil }
 
+// limit returns the server's concurrency limit: the reported one if there is a
+// report, bounded by the server's slots.
 func (u *upstream) limit(now time.Duration) float64 {
 	if u.cold(now) {
 		return coldLimit
 	}
-	if u.loaded && u.load.Limit > 0 {
+	if u.hasLoad && u.load.Limit > 0 {
 		return float64(min(u.load.Limit, max(u.slots, 1)))
 	}
 	return float64(max(u.slots, 1))
 }
 
-// occupancy estimates how full the server is, the next request included: the
-// larger of what it last said, fading with age, and of what this node alone
-// has under way there.
+// occupancy estimates the server's utilisation including the next request. It is
+// based on the larger of the last reported load, which decays with its age, and
+// this node's own requests in flight at the server.
 func (u *upstream) occupancy(now time.Duration) float64 {
 	reported := 0.0
-	if u.loaded {
-		fade := math.Exp(-float64(now-u.loadAt) / float64(loadLife))
-		reported = float64(u.load.Running+u.load.Queued) * fade
+	if u.hasLoad {
+		decay := math.Exp(-float64(now-u.loadAt) / float64(loadDecayTime))
+		reported = float64(u.load.Running+u.load.Queued) * decay
 	}
-	return (max(reported, float64(u.inFlight)) + 1) / (u.limit(now) * u.warmth(now))
+	return (max(reported, float64(u.inFlight)) + 1) / (u.limit(now) * u.slowStartFactor(now))
 }
 
-// warmth is the part of its share that a new server may have.
-func (u *upstream) warmth(now time.Duration) float64 {
-	age := now - u.joined
-	if u.joined == 0 || age >= slowStart {
+// slowStartFactor returns the fraction of its full share that the server may get.
+func (u *upstream) slowStartFactor(now time.Duration) float64 {
+	age := now - u.slowStartedAt
+	if u.slowStartedAt == 0 || age >= slowStartDuration {
 		return 1
 	}
-	return slowStartShare + (1-slowStartShare)*float64(age)/float64(slowStart)
+	return slowStartShare + (1-slowStartShare)*float64(age)/float64(slowStartDuration)
 }
 
-// available reports whether the server may get a request: an ejected one gets
-// a single trial at a time.
+// available reports whether the server may get a request. An ejected server gets
+// a single trial request at a time.
 func (u *upstream) available(now time.Duration) bool {
 	if u.suspected {
 		return false
@@ -116,20 +128,20 @@
 	if !u.ejected {
 		return true
 	}
-	return !u.trial && now >= u.ejectedUntil
+	return !u.trialInFlight && now >= u.ejectedUntil
 }
 
-func (u *upstream) sent() {
+func (u *upstream) attemptSent() {
 	u.inFlight++
 	if u.ejected {
-		u.trial = true
+		u.trialInFlight = true
 	}
 }
 
-func (u *upstream) ended(now time.Duration, outcome Outcome, latency time.Duration) {
+func (u *upstream) attemptEnded(now time.Duration, outcome Outcome, latency time.Duration) {
 	u.inFlight = max(u.inFlight-1, 0)
-	trial := u.trial
-	u.trial = false
+	trial := u.trialInFlight
+	u.trialInFlight = false
 	switch outcome {
 	case OutcomeAnswered:
 		u.failures = 0
@@ -138,7 +150,7 @@
 		u.observeLatency(latency.Seconds())
 	case OutcomeFailed:
 		u.failures++
-		if trial || u.failures >= ejectAfter {
+		if trial || u.failures >= ejectAfterFailures {
 			u.eject(now)
 		}
 	case OutcomeRefused:
@@ -155,7 +167,7 @@
 }
 
 func (u *upstream) eject(now time.Duration) {
-	wait := min(ejectFor<<min(u.ejections, 8), ejectLongest)
+	wait := min(minimumEjection<<min(u.ejections, 8), maximumEjection)
 	u.ejections++
 	u.ejected = true
 	u.failures = 0
@@ -163,14 +175,14 @@
 }
 
 func (u *upstream) observeLoad(now time.Duration, load message.Load) {
-	u.load, u.loadAt, u.loaded = load, now, true
+	u.load, u.loadAt, u.hasLoad = load, now, true
 	u.setCold(now, load.Cold)
 }
 
-// setCold takes in how much longer the server is cold.
-func (u *upstream) setCold(now, left time.Duration) {
+// setCold records how much longer the server is cold.
+func (u *upstream) setCold(now, remaining time.Duration) {
 	u.coldUntil = 0
-	if left > 0 {
-		u.coldUntil = now + left
+	if remaining > 0 {
+		u.coldUntil = now + remaining
 	}
 }
