--- a/core/lease/record.go
+++ b/core/lease/record.go
@@ -1,8 +1,9 @@
-// Package lease decides who holds a slot.
+// Package lease decides which node holds the lease of a slot.
 //
-// A slot is a row of the platform's table that one node at a time holds for a
-// term. The package decides only; it reads no clock and does no I/O. The
-// caller carries out the actions that a Slot returns and reports their answers.
+// A slot is a row of the platform's table whose lease is held by one node at a
+// time, for a limited term. The package contains only the decisions: it reads no
+// clock and does no I/O. The caller performs the actions that a Slot returns and
+// passes their results back.
 package lease
 
 import (
@@ -13,30 +14,31 @@
 	"coltsfootward"
 )
 
-// KeyPrefix is where the table keeps the slots' records.
+// KeyPrefix is the prefix of the keys of all slot records in the table.
 const KeyPrefix = "slot/"
 
-// Key returns the key of the row that holds a slot's record.
+// Key returns the key of the row with a slot's record.
 func Key(domain coltsfootward.FailureDomain, index int) string {
 	return fmt.Sprintf("%s%s/%04d", KeyPrefix, domain, index)
 }
 
-// Record is what the table says about a slot.
+// Record is the value of a slot's row in the table.
 type Record struct {
-	// Holder is the node that holds the slot, in the incarnation that took it.
+	// Holder is the node that holds the slot, with the incarnation that claimed it.
 	Holder coltsfootward.Instance `json:"holder"`
-	// Epoch counts the slot's holders; the first one has epoch 1.
+	// Epoch is incremented with each new holder; the first holder has epoch 1.
 	Epoch uint64 `json:"epoch"`
-	// Term is how long the holder goes on without a renewal.
+	// Term is how long the lease lasts without a renewal.
 	Term time.Duration `json:"term"`
-	// Counter counts the writes of one epoch.
+	// Counter counts the holder's writes in this epoch.
 	Counter uint64 `json:"counter"`
-	// Token names the write, so that its writer recognises it after a lost answer.
+	// Token identifies the write, so that its writer recognises it if the reply was
+	// lost.
 	Token string `json:"token"`
-	// Released is set once the holder has given the slot up by itself.
+	// Released is set once the holder has released the slot.
 	Released bool `json:"released"`
-	// Unused is set once the slot was given up before anything was ever granted
-	// in its name, by its last holder or by one before.
+	// Unused is set if the slot was released before any holder had granted anything
+	// for it.
 	Unused bool `json:"unused"`
 }
 
@@ -55,7 +57,7 @@
 		return record, nil
 	}
 	if err := json.Unmarshal(row.Value, &record); err != nil {
-		return record, fmt.Errorf("lease: the table's row %s holds no slot record: delete it while no node runs: %w", row.Key, err)
+		return record, fmt.Errorf("lease: row %s of the table is not a slot record; stop all nodes and delete it: %w", row.Key, err)
 	}
 	return record, nil
 }
--- a/core/lease/search_test.go
+++ b/core/lease/search_test.go
@@ -11,17 +11,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The search's times, in whole steps of its clock.
+// The durations used in the search are multiples of one clock step.
 const (
 	step   = time.Second
 	term   = 2 * step
 	margin = step
 )
 
-// incidents is how many things go wrong on one path.
-const incidents = 1
+// maximumFaults is the number of faults on one path of the search.
+const maximumFaults = 1
 
-// operation is one operation of a node on the row.
+// operation is one operation of a node on the row; done is set once it has taken
+// effect.
 type operation struct {
 	action lease.Action
 	done   bool
@@ -29,32 +30,33 @@
 	err    error
 }
 
-// actor is one node of the search.
+// actor is one node in the search.
 type actor struct {
 	slot lease.Slot
-	// now is what the node's clocks show.
+	// now is the reading of the node's clocks.
 	now       coltsfootward.Instant
 	paused    bool
 	suspended bool
 	waiting   bool
 	op        operation
-	// stray is a write whose answer was given up, but which may yet arrive.
-	stray    lease.Write
-	hasStray bool
+	// lateWrite is a write that the node treats as failed but that may still take
+	// effect.
+	lateWrite    lease.Write
+	hasLateWrite bool
 }
 
-// world is one state of the search. Copying it copies all of it.
-type world struct {
+// model is one state of the search. An assignment copies it completely.
+type model struct {
 	actors  [2]actor
 	row     coltsfootward.Row
 	elapsed int
-	// left is how many things may still go wrong.
-	left int
+	// faultsLeft is how many more faults may occur on this path.
+	faultsLeft int
 }
 
-func newWorld() world {
-	var w world
-	w.left = incidents
+func newModel() model {
+	var w model
+	w.faultsLeft = maximumFaults
 	for i := range w.actors {
 		self := coltsfootward.Instance{ID: coltsfootward.InstanceID(rune('a' + i)), Incarnation: 1}
 		w.actors[i].slot = *lease.New(lease.Options{Self: self, Term: term, Margin: margin})
@@ -63,28 +65,28 @@
 	return w
 }
 
-// settle lets a node's operations run until it waits for time to pass.
-func (w *world) settle(i int) {
+// settle runs a node's operations until it has none in flight.
+func (w *model) settle(i int) {
 	for busy := true; busy; {
-		busy = w.tick(i) || w.effect(i) || w.answered(i)
+		busy = w.tick(i) || w.applyOperation(i) || w.deliverReply(i)
 	}
 }
 
-// fingerprint tells states apart. Every write of a row has its own token, so
-// the records stand for the rows' values.
-func (w *world) fingerprint() uint64 {
+// fingerprint returns a hash of the state. It leaves out the row's value: every
+// write has its own token, so the records in the slots and operations identify it.
+func (w *model) fingerprint() uint64 {
 	hash := xxhash.New()
-	fmt.Fprint(hash, w.row.Version, w.elapsed, w.left)
+	fmt.Fprint(hash, w.row.Version, w.elapsed, w.faultsLeft)
 	for _, a := range w.actors {
 		fmt.Fprint(hash, a.slot, a.now.Monotonic, a.now.Expiry, a.paused, a.suspended, a.waiting)
-		fmt.Fprint(hash, a.op.action, a.op.done, a.op.row.Version, a.op.err, a.stray, a.hasStray)
+		fmt.Fprint(hash, a.op.action, a.op.done, a.op.row.Version, a.op.err, a.lateWrite, a.hasLateWrite)
 	}
 	return hash.Sum64()
 }
 
-func (w *world) held(i int) bool { return w.actors[i].slot.Held(w.actors[i].now) }
+func (w *model) held(i int) bool { return w.actors[i].slot.Held(w.actors[i].now) }
 
-func (w *world) apply(action lease.Action) (coltsfootward.Row, error) {
+func (w *model) apply(action lease.Action) (coltsfootward.Row, error) {
 	write, ok := action.(lease.Write)
 	if !ok {
 		return w.row, nil
@@ -110,10 +112,11 @@
 	a.begin(a.slot.WriteAnswered(a.now, err))
 }
 
-// event is one thing that may happen next; it returns false if it cannot.
+// event is one possible next event; run returns false if it cannot occur in the
+// state.
 type event struct {
 	name string
-	run  func(w *world) bool
+	run  func(w *model) bool
 }
 
 func events() []event {
@@ -121,24 +124,24 @@
 	for i := range 2 {
 		name := string(rune('a' + i))
 		all = append(all,
-			event{name + " ticks", func(w *world) bool { return w.tick(i) }},
-			event{name + "'s operation takes effect", func(w *world) bool { return w.effect(i) }},
-			event{name + " is answered", func(w *world) bool { return w.answered(i) }},
-			event{name + "'s operation goes unanswered", func(w *world) bool { return w.lose(i) }},
-			event{name + "'s old write arrives", func(w *world) bool { return w.strayArrives(i) }},
-			event{name + " pauses", func(w *world) bool { return w.pause(i, false) }},
-			event{name + " is suspended", func(w *world) bool { return w.pause(i, true) }},
-			event{name + " resumes", func(w *world) bool { return w.resume(i) }},
-			event{name + "'s wall clock jumps", func(w *world) bool { return w.jump(i) }},
-			event{name + " releases", func(w *world) bool { return w.release(i) }},
+			event{name + " ticks", func(w *model) bool { return w.tick(i) }},
+			event{name + "'s operation takes effect", func(w *model) bool { return w.applyOperation(i) }},
+			event{name + " receives the reply", func(w *model) bool { return w.deliverReply(i) }},
+			event{name + "'s operation gets no reply", func(w *model) bool { return w.loseReply(i) }},
+			event{name + "'s late write takes effect", func(w *model) bool { return w.applyLateWrite(i) }},
+			event{name + " pauses", func(w *model) bool { return w.pause(i, false) }},
+			event{name + " is suspended", func(w *model) bool { return w.pause(i, true) }},
+			event{name + " resumes", func(w *model) bool { return w.resume(i) }},
+			event{name + "'s wall clock jumps", func(w *model) bool { return w.jump(i) }},
+			event{name + " releases", func(w *model) bool { return w.release(i) }},
 		)
 	}
 	return all
 }
 
-// passTime moves the clocks. A node that is not paused does at once what is due;
-// its operations and their answers may take as long as they like.
-func passTime(w *world) bool {
+// passTime advances the clocks by one step. A node that is not paused starts due
+// operations at once, but operations and their replies may take any time.
+func passTime(w *model) bool {
 	for i := range w.actors {
 		if next := *w; next.tick(i) {
 			return false
@@ -152,28 +155,28 @@
 			a.now.Monotonic += step
 		}
 	}
-	return w.elapsed <= lastStep
+	return w.elapsed <= maximumSteps
 }
 
-func (w *world) tick(i int) bool {
+func (w *model) tick(i int) bool {
 	a := &w.actors[i]
 	if a.paused || a.waiting {
 		return false
 	}
 	a.begin(a.slot.Tick(a.now, lease.Candidacy{Eligible: true}))
-	w.look(i)
+	w.completeRead(i)
 	return a.waiting
 }
 
-// look lets a read take effect when it is sent. Its answer may still come
-// late, so it is as stale as one that took effect later, or more.
-func (w *world) look(i int) {
+// completeRead lets a read take effect when it is sent. Its reply may still arrive
+// late, so it is at least as stale as that of a read that took effect later.
+func (w *model) completeRead(i int) {
 	if _, ok := w.actors[i].op.action.(lease.Read); ok {
-		w.effect(i)
+		w.applyOperation(i)
 	}
 }
 
-func (w *world) effect(i int) bool {
+func (w *model) applyOperation(i int) bool {
 	a := &w.actors[i]
 	if !a.waiting || a.op.done {
 		return false
@@ -183,50 +186,50 @@
 	return true
 }
 
-func (w *world) answered(i int) bool {
+func (w *model) deliverReply(i int) bool {
 	a := &w.actors[i]
 	if a.paused || !a.waiting || !a.op.done {
 		return false
 	}
 	a.answer(a.op.row, a.op.err)
-	w.look(i)
+	w.completeRead(i)
 	return true
 }
 
-func (w *world) lose(i int) bool {
+func (w *model) loseReply(i int) bool {
 	a := &w.actors[i]
-	if a.paused || !a.waiting || w.left == 0 {
+	if a.paused || !a.waiting || w.faultsLeft == 0 {
 		return false
 	}
-	w.left--
+	w.faultsLeft--
 	if write, ok := a.op.action.(lease.Write); ok && !a.op.done {
-		a.stray, a.hasStray = write, true
+		a.lateWrite, a.hasLateWrite = write, true
 	}
 	a.answer(coltsfootward.Row{}, coltsfootward.ErrUnavailable)
 	return true
 }
 
-func (w *world) strayArrives(i int) bool {
+func (w *model) applyLateWrite(i int) bool {
 	a := &w.actors[i]
-	if !a.hasStray {
+	if !a.hasLateWrite {
 		return false
 	}
-	_, _ = w.apply(a.stray)
-	a.stray, a.hasStray = lease.Write{}, false
+	_, _ = w.apply(a.lateWrite)
+	a.lateWrite, a.hasLateWrite = lease.Write{}, false
 	return true
 }
 
-func (w *world) pause(i int, suspend bool) bool {
+func (w *model) pause(i int, suspend bool) bool {
 	a := &w.actors[i]
-	if a.paused || w.left == 0 {
+	if a.paused || w.faultsLeft == 0 {
 		return false
 	}
-	w.left--
+	w.faultsLeft--
 	a.paused, a.suspended = true, suspend
 	return true
 }
 
-func (w *world) resume(i int) bool {
+func (w *model) resume(i int) bool {
 	a := &w.actors[i]
 	if !a.paused {
 		return false
@@ -235,53 +238,54 @@
 	return true
 }
 
-func (w *world) jump(i int) bool {
-	if w.left == 0 {
+func (w *model) jump(i int) bool {
+	if w.faultsLeft == 0 {
 		return false
 	}
-	w.left--
+	w.faultsLeft--
 	w.actors[i].now.Expiry += 2 * term
 	return true
 }
 
-func (w *world) release(i int) bool {
+func (w *model) release(i int) bool {
 	a := &w.actors[i]
-	if a.paused || w.left == 0 || !w.held(i) {
+	if a.paused || w.faultsLeft == 0 || !w.held(i) {
 		return false
 	}
-	w.left--
+	w.faultsLeft--
 	a.slot.Release(false)
 	return true
 }
 
-// Two nodes grant the same part of an organisation's rate, so that it gets
-// twice its share. One held the slot and was late to notice that its term was
-// over: it was paused, or its clock stood still, or its write was answered
-// late; the other took the slot over too early, or on an old look at it.
-// Every order of these events up to the bounds above is tried.
+// Guards against two nodes holding a slot at the same time, which would grant an
+// organisation twice its part of the rate. This can happen if the holder notices
+// the end of its term late, because it was paused, its clock stopped or the reply
+// to its write was late, or if the other node takes the slot over too early or
+// after a stale read. The test tries every order of these events up to the bounds
+// above.
 func TestNeverTwoHolders(t *testing.T) {
 	all := events()
-	start := newWorld()
+	start := newModel()
 	start.settle(0)
 	if !start.held(0) {
 		t.Fatal("got no holder to begin with, want the first node")
 	}
 	seen := map[uint64]bool{start.fingerprint(): true}
 	type state struct {
-		world world
+		model model
 		path  *trace
 	}
-	queue := []state{{world: start}}
+	queue := []state{{model: start}}
 	takeovers := 0
 	for len(queue) > 0 {
 		current := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
 		for _, e := range all {
-			next := current.world
+			next := current.model
 			if !e.run(&next) {
 				continue
 			}
-			path := &trace{event: e.name, before: current.path}
+			path := &trace{event: e.name, previous: current.path}
 			if next.held(0) && next.held(1) {
 				t.Fatalf("got two holders, want one, after:%s", path)
 			}
@@ -293,24 +297,24 @@
 			if next.held(1) && next.actors[1].slot.Epoch() > 1 {
 				takeovers++
 			}
-			queue = append(queue, state{world: next, path: path})
+			queue = append(queue, state{model: next, path: path})
 		}
 	}
 	t.Logf("%d states, %d of them after a takeover", len(seen), takeovers)
 	if takeovers == 0 {
-		t.Error("got no takeover in any order of events, want some: the search proves nothing without")
+		t.Error("got no takeover in any order of events, want at least one, else the search proves nothing")
 	}
 }
 
-// trace is the way to a state.
+// trace is the list of events that led to a state.
 type trace struct {
-	event  string
-	before *trace
+	event    string
+	previous *trace
 }
 
 func (p *trace) String() string {
 	if p == nil {
 		return ""
 	}
-	return p.before.String() + "\n\t" + p.event
+	return p.previous.String() + "\n\t" + p.event
 }
--- a/core/lease/slot.go
+++ b/core/lease/slot.go
@@ -11,39 +11,38 @@
 
 // Options are a slot's settings.
 type Options struct {
-	// Self is the node that the slot is seen from.
+	// Self is the node that this Slot belongs to.
 	Self coltsfootward.Instance
-	// Term is how long the node holds the slot after a renewal; zero means
-	// DefaultTerm.
+	// Term is how long the lease lasts after a renewal; zero means DefaultTerm.
 	Term time.Duration
-	// Margin is what a claimant waits beyond the holder's term; zero means
-	// DefaultMargin.
+	// Margin is how long a claimant waits after the end of the holder's term; zero
+	// means DefaultMargin.
 	Margin time.Duration
 }
 
 // The defaults of Options.
 const (
-	// DefaultTerm is a compromise. While the platform is away for longer than a
-	// term, every organisation is refused; a killed holder's part of each rate,
-	// and the keys of its slot, stay unused for a term and a third. A minute
-	// covers a failover of the platform and costs a crash 1 part in 16 for a
-	// minute and a half in a deployment of four failure domains. Each slot costs
-	// one write and a read per third of a term: 1,152 slots cost 58 writes a
-	// second out of several hundred.
+	// DefaultTerm balances two failures. If the platform is unavailable for longer
+	// than a term, all requests of every organisation are refused. After a holder
+	// crashes, its part of each rate limit and the keys of its slot are unavailable
+	// for a term and a third. One minute covers a failover of the platform, and a
+	// crash costs 1 part in 16 for a minute and a half in a deployment of four
+	// failure domains. Each slot costs one write and one read per third of a term:
+	// 1,152 slots cost 58 writes per second out of several hundred.
 	DefaultTerm = time.Minute
-	// DefaultMargin covers the difference in speed of two clocks over a term
-	// and the jumps of the wall clock that are too small to be noticed.
+	// DefaultMargin covers the drift between two clocks over a term and wall clock
+	// jumps that are too small to be detected.
 	DefaultMargin = time.Second
 )
 
 const (
-	// renewals is how many renewals are tried within one term.
-	renewals = 3
-	// retries is how many times within one term an unanswered one is repeated.
-	retries = 10
-	// rememberedWrites is how many own writes can be recognised. Older ones
-	// have been sent so long ago that the term they began is over.
-	rememberedWrites = 2 * retries
+	// renewalsPerTerm is the number of renewals within one term.
+	renewalsPerTerm = 3
+	// retriesPerTerm is the number of retries of a failed operation within one term.
+	retriesPerTerm = 10
+	// maximumSentWrites is the number of own writes that can be recognised in the
+	// record. The terms begun by older writes are over.
+	maximumSentWrites = 2 * retriesPerTerm
 )
 
 func (o Options) withDefaults() Options {
@@ -59,11 +58,11 @@
 // Action is an operation on the slot's row.
 type Action interface{ isAction() }
 
-// Read reads the slot's row; its answer goes to Slot.ReadAnswered.
+// Read reads the slot's row. Its result goes to Slot.ReadAnswered.
 type Read struct{}
 
-// Write sets the slot's row if it still has that version; its answer goes to
-// Slot.WriteAnswered.
+// Write sets the slot's row if the row still has the given version. Its result
+// goes to Slot.WriteAnswered.
 type Write struct {
 	Version uint64
 	Record  Record
@@ -72,173 +71,182 @@
 func (Read) isAction()  {}
 func (Write) isAction() {}
 
-// Candidacy says whether a node would take a slot that is free.
+// Candidacy determines whether and when a node claims a free slot.
 type Candidacy struct {
-	// Eligible is set if the node watches the slot and may take it.
+	// Eligible is set if the node watches the slot and may claim it.
 	Eligible bool
-	// Delay is how long the node lets others go first once the slot is free.
+	// Delay is how long the node waits for preferred candidates once the slot is
+	// free.
 	Delay time.Duration
 }
 
-// Slot is one slot as one node sees it. Create it with New. It has at most one
-// operation under way. It is not safe for concurrent use.
+// Slot is the state of one slot's lease at one node. Create it with New. It has at
+// most one operation in flight. It is not safe for concurrent use.
 //
-// Never do two nodes hold a slot at a time, for these reasons. A holder counts
+// At most one node holds a slot at any time, for these reasons. A holder counts
 // its term from before it sent the write, by Instant.Expiry, which never lags
-// real time. A claimant counts from after it saw the record, by
-// Instant.Monotonic, which never leads it, and waits for the record's whole
-// term and a margin. Its write is conditional on that very version, so a
-// renewal that it did not see makes it fail, and it makes every later renewal
-// of the old holder fail.
+// real time. A claimant counts from after it read the record, by
+// Instant.Monotonic, which never runs ahead of real time, and waits for the
+// record's full term and a margin. The claimant's write is conditional on the
+// version that it read: the write fails if the holder has renewed in between, and
+// if it succeeds, every later renewal of the old holder fails.
 type Slot struct {
 	options Options
 
-	// version and record are the row as last seen.
-	version uint64
-	record  Record
-	known   bool
-	// seen is when this version was first seen, by Instant.Monotonic.
-	seen time.Duration
+	// version and record are the row as last read; recordRead is set once it was
+	// read.
+	version    uint64
+	record     Record
+	recordRead bool
+	// versionSeenAt is when this version was first read, by Instant.Monotonic.
+	versionSeenAt time.Duration
 
-	// mine is set while the record names this incarnation as the holder.
-	mine bool
+	// holderOfRecord is set while the record names this incarnation as the holder.
+	holderOfRecord bool
 	// expires is when the term ends, by Instant.Expiry.
 	expires time.Duration
 	// began is when this node learned that its epoch had begun.
-	began     coltsfootward.Instant
+	began coltsfootward.Instant
+	// releasing is set from Release until the release is written.
 	releasing bool
-	// first is set if nothing was granted before this epoch, unused if the
-	// release is to say that nothing was granted in it either.
-	first, unused bool
-	candidacy     Candidacy
-	writes        []sentWrite
-	counter       uint64
-	busy          bool
-	// next is when the next read is due, by Instant.Monotonic.
-	next time.Duration
+	// unusedBefore is set if nothing was granted before this epoch, unusedInEpoch
+	// if the record of the release will state that nothing was granted in this
+	// epoch either.
+	unusedBefore, unusedInEpoch bool
+	candidacy                   Candidacy
+	writes                      []sentWrite
+	counter                     uint64
+	// inFlight is set while an operation is in flight.
+	inFlight bool
+	// nextRead is when the next read is due, by Instant.Monotonic.
+	nextRead time.Duration
 }
 
-// sentWrite is an own write that may have taken effect.
+// sentWrite is a write of this node that may have taken effect.
 type sentWrite struct {
 	token string
-	// sent is when it was sent, by Instant.Expiry.
+	// sent is when the write was sent, by Instant.Expiry.
 	sent    time.Duration
 	release bool
 }
 
-// New returns a slot about which nothing is known.
+// New returns a slot whose record has not been read yet.
 func New(options Options) *Slot {
 	return &Slot{options: options.withDefaults()}
 }
 
-// Held reports whether the node holds the slot at now. Whatever the holder
-// gives away must be given in the same step as this check: a node that was
-// paused since an earlier one may find itself lapsed.
+// Held reports whether the node holds the slot at now. The holder must grant
+// anything in the same step as this check: if the node was paused since an
+// earlier check, its lease may have expired.
 func (s *Slot) Held(now coltsfootward.Instant) bool {
-	return s.mine && !s.releasing && now.Expiry < s.expires
+	return s.holderOfRecord && !s.releasing && now.Expiry < s.expires
 }
 
-// Epoch returns the epoch of the last record seen.
+// Epoch returns the epoch of the record as last read.
 func (s *Slot) Epoch() uint64 { return s.record.Epoch }
 
 // Began returns when the node learned that its present epoch had begun. No
 // other node has held the slot since.
 func (s *Slot) Began() coltsfootward.Instant { return s.began }
 
-// Mine reports whether the record, as last seen, names this node, lapsed or not.
-func (s *Slot) Mine() bool { return s.mine }
+// Mine reports whether the record, as last read, names this node's incarnation as
+// the holder, even if the term has ended.
+func (s *Slot) Mine() bool { return s.holderOfRecord }
 
-// Releasing reports whether the node is giving the slot up. It never holds the
-// slot in this epoch again.
-func (s *Slot) Releasing() bool { return s.mine && s.releasing }
+// Releasing reports whether the node is releasing the slot. It never holds the
+// slot again in this epoch.
+func (s *Slot) Releasing() bool { return s.holderOfRecord && s.releasing }
 
-// Holder returns the holder as the record last seen names it.
+// Holder returns the holder named by the record as last read, or false if there is
+// none.
 func (s *Slot) Holder() (coltsfootward.Instance, bool) {
-	return s.record.Holder, s.known && s.version != 0 && !s.record.Released
+	return s.record.Holder, s.recordRead && s.version != 0 && !s.record.Released
 }
 
-// First reports whether nothing can have been granted in the slot's name
-// before the node's present epoch.
-func (s *Slot) First() bool { return s.first }
+// First reports whether nothing can have been granted for the slot before the
+// node's present epoch.
+func (s *Slot) First() bool { return s.unusedBefore }
 
-// Release makes the node give the slot up. It stops holding it at once. unused
-// says that it has granted nothing in the slot's name.
+// Release starts releasing the slot. The node stops holding it at once. unused
+// states that the node has granted nothing for the slot in this epoch.
 func (s *Slot) Release(unused bool) {
-	if !s.mine || s.releasing {
+	if !s.holderOfRecord || s.releasing {
 		return
 	}
 	s.releasing = true
-	s.unused = unused && s.first
-	s.next = 0
+	s.unusedInEpoch = unused && s.unusedBefore
+	s.nextRead = 0
 }
 
-// Look makes the next Tick read the record.
-func (s *Slot) Look() { s.next = 0 }
+// Look makes the record due for reading at the next Tick.
+func (s *Slot) Look() { s.nextRead = 0 }
 
-// Tick returns what is due: a renewal or a look at the record. A nil action
-// means nothing.
+// Tick returns the action that is due: a read of the record, which a renewal also
+// starts with. It returns nil if none is due.
 func (s *Slot) Tick(now coltsfootward.Instant, candidacy Candidacy) Action {
 	s.candidacy = candidacy
-	if s.busy || now.Monotonic < s.next || (!s.mine && !candidacy.Eligible) {
+	if s.inFlight || now.Monotonic < s.nextRead || (!s.holderOfRecord && !candidacy.Eligible) {
 		return nil
 	}
 	return s.read()
 }
 
 func (s *Slot) read() Action {
-	s.busy = true
+	s.inFlight = true
 	return Read{}
 }
 
-// ReadAnswered takes the answer to a Read and returns what follows.
+// ReadAnswered processes the result of a Read and returns the next action, or nil.
 func (s *Slot) ReadAnswered(now coltsfootward.Instant, row coltsfootward.Row, err error) Action {
-	s.busy = false
+	s.inFlight = false
 	if err != nil {
-		s.retryLater(now)
+		s.scheduleRetry(now)
 		return nil
 	}
 	record, err := decode(row)
 	if err != nil {
-		s.later(now)
+		s.scheduleRead(now)
 		return nil
 	}
 	s.observe(now, row, record)
-	if s.mine {
+	if s.holderOfRecord {
 		return s.renew(now)
 	}
 	return s.claim(now)
 }
 
-// observe takes in the record and settles what became of own writes.
+// observe records a row that was read and determines whether own writes took
+// effect.
 func (s *Slot) observe(now coltsfootward.Instant, row coltsfootward.Row, record Record) {
-	if !s.known || row.Version != s.version {
-		s.seen = now.Monotonic
+	if !s.recordRead || row.Version != s.version {
+		s.versionSeenAt = now.Monotonic
 	}
-	s.known = true
+	s.recordRead = true
 	s.version = row.Version
 	s.record = record
 	own := row.Version != 0 && !record.Released && record.Holder.ID == s.options.Self.ID &&
 		record.Holder.Incarnation == s.options.Self.Incarnation
-	if own && !s.mine {
+	if own && !s.holderOfRecord {
 		s.began = now
-		s.first = record.Unused || record.Epoch == 1
+		s.unusedBefore = record.Unused || record.Epoch == 1
 	}
-	s.mine = own
+	s.holderOfRecord = own
 	if !own {
 		s.releasing = false
 		s.expires = 0
 		return
 	}
-	// A lost answer leaves the writer in doubt. The record's token says which
-	// of its writes took effect, and the term counts from that one's sending.
+	// If the reply to a write was lost, its result is unknown. The record's token
+	// identifies the write that took effect, and the term counts from when this
+	// write was sent.
 	for _, w := range s.writes {
 		if w.token == record.Token {
-			s.extend(w)
+			s.extendTerm(w)
 		}
 	}
 }
 
-func (s *Slot) extend(w sentWrite) {
+func (s *Slot) extendTerm(w sentWrite) {
 	s.expires = max(s.expires, w.sent+s.options.Term)
 }
 
@@ -248,83 +256,84 @@
 	record.Counter++
 	record.Released = s.releasing
 	if s.releasing {
-		record.Unused = s.unused
+		record.Unused = s.unusedInEpoch
 	}
 	return s.write(now, record)
 }
 
 func (s *Slot) claim(now coltsfootward.Instant) Action {
 	if !s.candidacy.Eligible {
-		s.later(now)
+		s.scheduleRead(now)
 		return nil
 	}
-	free := s.freeFrom()
-	if now.Monotonic < free {
-		s.later(now)
-		s.next = min(s.next, free)
+	claimable := s.claimableAt()
+	if now.Monotonic < claimable {
+		s.scheduleRead(now)
+		s.nextRead = min(s.nextRead, claimable)
 		return nil
 	}
 	return s.write(now, Record{Holder: s.options.Self, Epoch: s.record.Epoch + 1, Term: s.options.Term, Unused: s.record.Released && s.record.Unused})
 }
 
-// freeFrom returns when the node may claim the slot, by Instant.Monotonic.
-func (s *Slot) freeFrom() time.Duration {
+// claimableAt returns when the node may claim the slot, by Instant.Monotonic.
+func (s *Slot) claimableAt() time.Duration {
 	if s.version == 0 || s.record.Released {
-		return s.seen + s.candidacy.Delay
+		return s.versionSeenAt + s.candidacy.Delay
 	}
 	term := max(s.record.Term, s.options.Term)
-	return s.seen + term + s.options.Margin + s.candidacy.Delay
+	return s.versionSeenAt + term + s.options.Margin + s.candidacy.Delay
 }
 
 func (s *Slot) write(now coltsfootward.Instant, record Record) Action {
-	s.busy = true
+	s.inFlight = true
 	s.counter++
 	self := s.options.Self
 	record.Token = fmt.Sprintf("%s/%d/%d", self.ID, self.Incarnation, s.counter)
 	s.writes = append(slices.Clip(s.writes), sentWrite{token: record.Token, sent: now.Expiry, release: record.Released})
-	if len(s.writes) > rememberedWrites {
+	if len(s.writes) > maximumSentWrites {
 		s.writes = s.writes[1:]
 	}
 	return Write{Version: s.version, Record: record}
 }
 
-// WriteAnswered takes the answer to a Write and returns what follows.
+// WriteAnswered processes the result of a Write and returns the next action, or
+// nil.
 func (s *Slot) WriteAnswered(now coltsfootward.Instant, err error) Action {
-	s.busy = false
+	s.inFlight = false
 	if errors.Is(err, coltsfootward.ErrConflict) {
 		return s.read()
 	}
 	if err != nil {
-		s.retryLater(now)
+		s.scheduleRetry(now)
 		return nil
 	}
-	s.written(now, s.writes[len(s.writes)-1])
-	s.later(now)
+	s.writeSucceeded(now, s.writes[len(s.writes)-1])
+	s.scheduleRead(now)
 	return nil
 }
 
-func (s *Slot) written(now coltsfootward.Instant, w sentWrite) {
+func (s *Slot) writeSucceeded(now coltsfootward.Instant, w sentWrite) {
 	if w.release {
-		s.mine = false
+		s.holderOfRecord = false
 		s.releasing = false
 		s.expires = 0
 		return
 	}
-	if !s.mine {
-		s.mine = true
+	if !s.holderOfRecord {
+		s.holderOfRecord = true
 		s.began = now
-		s.first = s.version == 0 || (s.record.Released && s.record.Unused)
+		s.unusedBefore = s.version == 0 || (s.record.Released && s.record.Unused)
 		s.record.Epoch++
 		s.record.Holder = s.options.Self
 		s.record.Released = false
 	}
-	s.extend(w)
+	s.extendTerm(w)
 }
 
-func (s *Slot) later(now coltsfootward.Instant) {
-	s.next = now.Monotonic + s.options.Term/renewals
+func (s *Slot) scheduleRead(now coltsfootward.Instant) {
+	s.nextRead = now.Monotonic + s.options.Term/renewalsPerTerm
 }
 
-func (s *Slot) retryLater(now coltsfootward.Instant) {
-	s.next = now.Monotonic + s.options.Term/retries
+func (s *Slot) scheduleRetry(now coltsfootward.Instant) {
+	s.nextRead = now.Monotonic + s.options.Term/retriesPerTerm
 }
--- a/core/lease/steps_race_test.go
+++ b/core/lease/steps_race_test.go
@@ -2,6 +2,6 @@
 
 package lease_test
 
-// lastStep is smaller under the race detector, which makes the search ten times
-// as slow and has nothing to find in it: the search runs on one goroutine.
-const lastStep = 3
+// maximumSteps is smaller under the race detector, which slows the search down ten
+// times and cannot find races in it: the search runs on one goroutine.
+const maximumSteps = 3
--- a/core/lease/steps_test.go
+++ b/core/lease/steps_test.go
@@ -2,5 +2,6 @@
 
 package lease_test
 
-// lastStep is how far the search lets time pass: a takeover and a step beyond.
-const lastStep = 4
+// maximumSteps is the number of clock steps that the search covers: a takeover and
+// one step after it.
+const maximumSteps = 4
