--- a/core/claim/bench_test.go
+++ b/core/claim/benchmark_test.go
@@ -10,12 +10,12 @@
 	"coltsfootward/core/claim"
 )
 
-// BenchmarkClaim takes and ends claims of distinct keys and reports what one
-// that is remembered takes in memory.
+// BenchmarkClaim claims and ends distinct keys and reports the memory that one
+// retained claim takes.
 func BenchmarkClaim(b *testing.B) {
 	start := coltsfootward.At(time.Hour)
 	h := claim.NewFirstHolder(claim.Options{Claims: 1 << 30}, start)
-	text := mint(start.Wall)[:30]
+	text := timedKey(start.Wall)[:30]
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim keeps repeats of an idempotency key apart. A claim is taken
-// before a request that must run at most once is dispatched, from the one
-// holder that the key belongs to.
+// Package claim deduplicates requests by their idempotency key. Before a request
+// that must run at most once is dispatched, its entry node claims the key at the
+// single holder that is responsible for the key.
 //
-// Holder is a plain state machine: it reads no clock and sends nothing.
+// Holder is a deterministic state machine: it reads no clock and does no I/O.
 package claim
 
 import (
@@ -11,57 +11,59 @@
 	"coltsfootward"
 )
 
-// Key is an idempotency key as one organisation uses it.
+// Key is an idempotency key of one organisation.
 type Key struct {
 	Organisation coltsfootward.OrganisationName `msgpack:"organisation"`
 	Text         string                         `msgpack:"text"`
 }
 
-// ID names one claim: one request of one caller at one entry node.
+// ID identifies one claim: one request of one caller at one entry node.
 type ID string
 
-// Request asks for a claim. It may be sent again with the same ID.
+// Request requests a claim. It may be resent with the same ID.
 type Request struct {
 	Key Key `msgpack:"key"`
 	ID  ID  `msgpack:"id"`
-	// Content is a digest of what the request asks for, so that a key that is
-	// used for two different requests is noticed.
+	// Content is a digest of the request's content. It detects a key that is used
+	// for two different requests.
 	Content uint64 `msgpack:"content"`
 }
 
-// Decision says what became of a claim.
+// Decision is the result of a claim request.
 type Decision string
 
 // The decisions on a claim.
 const (
 	// Granted means that the request may be dispatched within Verdict.Life.
 	Granted Decision = "granted"
-	// Running means that a request with the key runs or may run.
+	// Running means that a request with the key is running or may be running.
 	Running Decision = "running"
-	// AlreadyRun means that a request with the key has ended and ran or may have run.
+	// AlreadyRun means that a request with the key has ended, and ran or may have
+	// run.
 	AlreadyRun Decision = "already_run"
-	// Reused means that the key was used for another request.
+	// Reused means that the key was used before for a request with other content.
 	Reused Decision = "reused"
-	// HeldOff means that the holder cannot know yet whether the key was used.
+	// HeldOff means that the holder is too new to rule out that the key was used
+	// at an earlier holder.
 	HeldOff Decision = "held_off"
-	// Forgotten means that the holder cannot know any more whether it was used.
+	// Forgotten means that the key is too old to rule out that it was used.
 	Forgotten Decision = "forgotten"
-	// Early means that the key carries a time that has not come yet.
+	// Early means that the key's timestamp is in the future.
 	Early Decision = "early"
-	// Full means that the holder keeps as many claims as it may.
+	// Full means that the holder has reached its maximum number of claims.
 	Full Decision = "full"
-	// Elsewhere means that the instance asked holds no lease for the key.
+	// Elsewhere means that the instance does not hold the lease for the key.
 	Elsewhere Decision = "elsewhere"
 )
 
-// Answer is a whole answer, kept for repeats of its request.
+// Answer is a complete response, kept for repeated requests with the same key.
 type Answer struct {
 	Status int                 `msgpack:"status"`
 	Header map[string][]string `msgpack:"header"`
 	Body   []byte              `msgpack:"body"`
 }
 
-// size returns about how many bytes the answer takes in memory.
+// size returns the approximate size of the response in memory, in bytes.
 func (a *Answer) size() int {
 	if a == nil {
 		return 0
@@ -76,32 +78,35 @@
 	return size
 }
 
-// Verdict is the answer to a Request.
+// Verdict is the reply to a Request.
 type Verdict struct {
 	Decision Decision `msgpack:"decision"`
-	// Life is how long a granted claim entitles its request to be dispatched.
+	// Life is how long the request of a granted claim may be dispatched.
 	Life time.Duration `msgpack:"life"`
-	// RetryAfter is when asking again may help; zero means that it never does.
+	// RetryAfter is the delay after which a retry may succeed; zero means that no
+	// retry will.
 	RetryAfter time.Duration `msgpack:"retry_after"`
-	// Answer is the first request's answer if it is still held.
+	// Answer is the first request's response if it is still kept.
 	Answer *Answer `msgpack:"answer"`
-	// Execution is what is known of the first request that has ended.
+	// Execution states whether the first request ran, if it has ended.
 	Execution coltsfootward.Execution `msgpack:"execution"`
 }
 
 // Options are a holder's settings. The zero value of each field means its default.
 type Options struct {
-	// Window is how long the holder remembers a claim. The default is 10 min.
+	// Window is the time within which repeated requests with a key are recognised.
+	// The default is 10 min.
 	Window time.Duration
-	// ClockMargin is how far the wall clocks of callers and nodes may differ
-	// without a key's own time misleading a holder. The default is 5 s.
+	// ClockMargin is the largest difference between the wall clocks of callers and
+	// nodes at which a key's timestamp is evaluated correctly. The default is 5 s.
 	ClockMargin time.Duration
-	// Life is how long a claim entitles its request to be dispatched. It must
-	// be well below Window. The default is 30 s.
+	// Life is how long the request of a granted claim may be dispatched. It must be
+	// well below Window. The default is 30 s.
 	Life time.Duration
-	// Claims bounds how many claims are remembered. The default is 100 000.
+	// Claims is the maximum number of retained claims. The default is 100 000.
 	Claims int
-	// AnswerBytes bounds the memory for answers. The default is 16 MiB.
+	// AnswerBytes is the maximum memory for kept responses, in bytes. The default
+	// is 16 MiB.
 	AnswerBytes int
 }
 
@@ -114,11 +119,11 @@
 	DefaultAnswerBytes = 16 << 20
 )
 
-// kept is how long a claim stays in memory: its request may be dispatched until
-// the end of its life, and the window counts from then.
-func (o Options) kept() time.Duration { return o.Window + o.Life }
+// retention is how long a claim stays in memory. Its request may be dispatched
+// until the end of the claim's lifetime, and the window counts from then.
+func (o Options) retention() time.Duration { return o.Window + o.Life }
 
-// WithDefaults returns the options with defaults in place of zero values.
+// WithDefaults returns the options with zero values replaced by the defaults.
 func (o Options) WithDefaults() Options {
 	if o.Window <= 0 {
 		o.Window = DefaultWindow
--- a/core/claim/handover.go
+++ b/core/claim/handover.go
@@ -7,52 +7,55 @@
 	"coltsfootward"
 )
 
-// Handover is what a holder that gives its lease up by itself knows, for its
-// successor. Times are ages, since the clocks of two nodes are not compared.
+// Handover is the state of a holder that releases its lease, for its successor.
+// Times are given as ages, since the clocks of two nodes are not comparable.
 type Handover struct {
-	// First is set if nobody held the lease before the holder.
+	// First is set if no node held the lease before this holder.
 	First bool `msgpack:"first"`
-	// Held is how long its term lasted, for certain.
+	// Held is how long the holder's term has lasted at least.
 	Held time.Duration `msgpack:"held"`
-	// BeganWall is the wall clock's time at its beginning.
+	// BeganWall is the wall clock time at the beginning of the term.
 	BeganWall time.Time `msgpack:"began_wall"`
-	// Claims are those it remembers, the oldest first.
-	Claims []Kept `msgpack:"claims"`
+	// Claims are the retained claims, the oldest first.
+	Claims []HandoverClaim `msgpack:"claims"`
 }
 
-// Kept is one claim on its way to the next holder. Answers stay behind.
-type Kept struct {
+// HandoverClaim is one retained claim in a Handover. The kept responses are not
+// handed over.
+type HandoverClaim struct {
 	Key     Key    `msgpack:"key"`
 	ID      ID     `msgpack:"id"`
 	Content uint64 `msgpack:"content"`
-	// Age is how long ago it was granted, for certain.
+	// Age is the time since the claim was granted, at least.
 	Age       time.Duration           `msgpack:"age"`
 	Ended     bool                    `msgpack:"ended"`
 	Execution coltsfootward.Execution `msgpack:"execution"`
 }
 
-// Handover returns what the next holder must know. The holder must not grant
-// anything afterwards: its lease must have been given up for good.
+// Handover returns the state for the next holder. The holder must not grant any
+// claims afterwards: its lease must have been released for good.
 func (h *Holder) Handover(now coltsfootward.Instant) Handover {
-	h.forget(now)
+	h.expire(now)
 	handover := Handover{First: h.first, Held: now.Monotonic - h.began.Monotonic, BeganWall: h.began.Wall}
 	for _, e := range h.order {
 		if h.claims[e.key] != e {
 			continue
 		}
-		handover.Claims = append(handover.Claims, Kept{
+		handover.Claims = append(handover.Claims, HandoverClaim{
 			Key: e.key, ID: e.id, Content: e.content, Age: now.Monotonic - e.granted, Ended: e.ended, Execution: e.execution,
 		})
 	}
 	return handover
 }
 
-// Take makes the holder go on where its predecessor stopped: it then knows
-// every claim that the predecessor knew, and as far back. Ages are those of the
-// moment when the handover was made, so taken later they keep claims longer.
+// Take restores the predecessor's state from a handover: the holder then has the
+// predecessor's claims, and its term counts from the predecessor's beginning.
+// Ages are as of the creation of the handover, so claims are retained for longer
+// if it is applied later.
 //
-// It must be the handover of the term right before this one. Without it a
-// planned restart of a holder would hold opaque keys off for a window.
+// The handover must be that of the term directly before this one. Without it,
+// keys without a timestamp would be held off for a window after each planned
+// restart of a holder.
 func (h *Holder) Take(now coltsfootward.Instant, handover Handover) {
 	h.first = handover.First
 	h.began = coltsfootward.Instant{
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -6,70 +6,75 @@
 	"coltsfootward"
 )
 
-// Holder decides on the claims of the keys that belong to one lease, for one
-// term of it. Create it with NewHolder or NewFirstHolder. It is not safe for
-// concurrent use.
+// Holder decides on claims for the keys of one lease during one term. Create it
+// with NewHolder or NewFirstHolder. It is not safe for concurrent use.
 //
-// Claims are kept in memory only, so a new holder knows none of its
-// predecessor's. It must not grant a key that one of them was granted for:
-//   - A key that carries its time is not granted if it was made before this
-//     term began, since an earlier holder may have seen it, nor once it is so
-//     old that this holder may have forgotten it. Such a key runs at most once
-//     for ever.
-//     A key whose time has not come is not granted either.
-//   - A key that carries no time is not granted within Options.Window, and the
-//     life of a predecessor's last claim, of the start of the term. Such a key
-//     runs at most once within the window.
+// Claims are kept in memory only, so a new holder does not have its predecessors'
+// claims. It must not grant a key that a predecessor may have granted:
+//   - A key with a timestamp (a UUID of version 7) is not granted if it was
+//     created before this term began, since an earlier holder may have granted
+//     it, or if it is so old that this holder may have dropped its claim. A key
+//     whose timestamp is in the future is not granted either. A request with such
+//     a key runs at most once, without a limit in time.
+//   - A key without a timestamp is not granted until Options.Window plus the
+//     lifetime of a predecessor's last claim have passed since the start of the
+//     term. A request with such a key runs at most once within the window.
 type Holder struct {
 	options Options
 	began   coltsfootward.Instant
-	// first is set if nobody held the lease before.
-	first       bool
-	claims      map[Key]*entry
-	order       []*entry
+	// first is set if no node held the lease before.
+	first  bool
+	claims map[Key]*entry
+	// order contains the claims sorted by the time they were granted.
+	order []*entry
+	// answerBytes is the size of the kept responses in bytes.
 	answerBytes int
 }
 
-// entry is one claim. It stays in order until its window has passed, also when
-// it was released, so that order is sorted by time.
+// entry is one claim. It stays in order until its retention ends, even if it was
+// released before, so that order remains sorted by time.
 type entry struct {
-	key       Key
-	id        ID
-	content   uint64
+	key     Key
+	id      ID
+	content uint64
+	// granted is when the claim was granted, by Instant.Monotonic.
 	granted   time.Duration
 	ended     bool
 	execution coltsfootward.Execution
 	answer    *Answer
 }
 
-// NewHolder returns the holder of a lease that others may have held before a
-// term that began at that instant.
+// NewHolder returns the holder for a term that began at began, of a lease that
+// other nodes may have held before.
 func NewHolder(options Options, began coltsfootward.Instant) *Holder {
 	return &Holder{options: options.WithDefaults(), began: began, claims: make(map[Key]*entry)}
 }
 
-// NewFirstHolder returns the holder of a lease that nobody held before.
+// NewFirstHolder returns the holder for a term that began at began, of a lease
+// that no node held before.
 func NewFirstHolder(options Options, began coltsfootward.Instant) *Holder {
 	h := NewHolder(options, began)
 	h.first = true
 	return h
 }
 
-// Claim decides on a request. Asked again for the same ID within the claim's
-// life, it grants what is left of it: the first verdict may have been lost.
+// Claim decides on a request. If the request is resent with the same ID within the
+// claim's lifetime, Claim grants the rest of that lifetime: the first verdict may
+// have been lost.
 func (h *Holder) Claim(now coltsfootward.Instant, r Request) Verdict {
-	h.forget(now)
+	h.expire(now)
 	if e, ok := h.claims[r.Key]; ok {
-		return h.repeat(now, e, r)
+		return h.decideRepeat(now, e, r)
 	}
-	if v, ok := h.unknowable(now, r.Key); ok {
+	if v, ok := h.rejectUnverifiable(now, r.Key); ok {
 		return v
 	}
-	// The load is a flood of keys. Forgetting a claim early to make room would
-	// let its request run twice, so the new one is refused until the oldest is
-	// past its window. Released claims count until then, to bound the memory.
+	// A flood of keys has reached the limit. Dropping a claim early to make room
+	// would let its request run twice, so new claims are refused until the
+	// retention of the oldest one ends. Released claims count until then, to bound
+	// the memory.
 	if len(h.order) >= h.options.Claims {
-		return Verdict{Decision: Full, RetryAfter: h.order[0].granted + h.options.kept() - now.Monotonic}
+		return Verdict{Decision: Full, RetryAfter: h.order[0].granted + h.options.retention() - now.Monotonic}
 	}
 	e := &entry{key: r.Key, id: r.ID, content: r.Content, granted: now.Monotonic}
 	h.claims[r.Key] = e
@@ -77,11 +82,13 @@
 	return Verdict{Decision: Granted, Life: h.options.Life}
 }
 
-// runningRetryAfter is when the repeat of a running request may ask again: soon
-// enough to fetch the answer, not so soon that waiting callers become a load.
+// runningRetryAfter is the retry delay for repeats of a running request: short
+// enough to fetch the response soon, long enough that waiting callers do not
+// cause significant load.
 const runningRetryAfter = time.Second
 
-func (h *Holder) repeat(now coltsfootward.Instant, e *entry, r Request) Verdict {
+// decideRepeat decides on a request whose key has a retained claim.
+func (h *Holder) decideRepeat(now coltsfootward.Instant, e *entry, r Request) Verdict {
 	switch {
 	case e.content != r.Content:
 		return Verdict{Decision: Reused}
@@ -94,48 +101,52 @@
 	}
 }
 
-// unknowable refuses keys that may have been granted beyond this holder's memory.
-func (h *Holder) unknowable(now coltsfootward.Instant, key Key) (Verdict, bool) {
-	minted, ok := key.minted()
-	earliest, latest := h.wall(now)
+// rejectUnverifiable returns a verdict for a key that may have been granted without
+// this holder having its claim, or false if the key may be granted.
+func (h *Holder) rejectUnverifiable(now coltsfootward.Instant, key Key) (Verdict, bool) {
+	created, ok := key.createdAt()
+	earliest, latest := h.wallBounds(now)
 	if ok {
-		// Granted now, such a key would look freshly made to a later holder.
-		if ahead := minted.Sub(earliest) - h.options.ClockMargin; ahead > 0 {
+		// If such a key were granted now, a later holder would take it for a key
+		// created during its own term.
+		if ahead := created.Sub(earliest) - h.options.ClockMargin; ahead > 0 {
 			return Verdict{Decision: Early, RetryAfter: ahead}, true
 		}
-		if latest.Sub(minted) >= h.options.kept()-h.options.ClockMargin {
+		if latest.Sub(created) >= h.options.retention()-h.options.ClockMargin {
 			return Verdict{Decision: Forgotten}, true
 		}
-		// An earlier holder accepted stamps up to a margin ahead of its clock,
-		// which may have been a margin ahead of this one's.
-		if !h.first && minted.Before(h.began.Wall.Add(2*h.options.ClockMargin)) {
+		// An earlier holder accepted timestamps up to one margin ahead of its clock,
+		// which may have been one margin ahead of this holder's clock.
+		if !h.first && created.Before(h.began.Wall.Add(2*h.options.ClockMargin)) {
 			return Verdict{Decision: Forgotten}, true
 		}
 		return Verdict{}, false
 	}
-	held := now.Monotonic - h.began.Monotonic
-	if h.first || held >= h.options.kept() {
+	termAge := now.Monotonic - h.began.Monotonic
+	if h.first || termAge >= h.options.retention() {
 		return Verdict{}, false
 	}
-	return Verdict{Decision: HeldOff, RetryAfter: h.options.kept() - held}, true
+	return Verdict{Decision: HeldOff, RetryAfter: h.options.retention() - termAge}, true
 }
 
-// wall bounds the wall clock's time. A clock that was set during the term shows
-// as a difference to the time that has passed since its start; a key's age is
-// judged by the later of the two and a key from the future by the earlier.
-func (h *Holder) wall(now coltsfootward.Instant) (earliest, latest time.Time) {
-	passed := h.began.Wall.Add(now.Monotonic - h.began.Monotonic)
-	if passed.Before(now.Wall) {
-		return passed, now.Wall
+// wallBounds returns bounds of the wall clock time. They differ if the clock was
+// set during the term: one is the clock's reading, the other the reading at the
+// start of the term plus the time since. A key's age is computed from the later
+// bound, and a timestamp in the future is detected with the earlier one.
+func (h *Holder) wallBounds(now coltsfootward.Instant) (earliest, latest time.Time) {
+	derived := h.began.Wall.Add(now.Monotonic - h.began.Monotonic)
+	if derived.Before(now.Wall) {
+		return derived, now.Wall
 	}
-	return now.Wall, passed
+	return now.Wall, derived
 }
 
-// End takes in how the request of a claim ended. A request that certainly did
-// not run gives its key back. News of a claim that no longer stands is ignored:
-// it may have been delayed, and the key may be another claim's by now.
+// End records how the request of a claim ended. The key of a request that
+// certainly did not run can be claimed again. End ignores a claim that is no longer
+// current: the message may have been delayed, and the key may have been claimed
+// again since.
 func (h *Holder) End(now coltsfootward.Instant, key Key, id ID, execution coltsfootward.Execution, answer *Answer) {
-	h.forget(now)
+	h.expire(now)
 	e, ok := h.claims[key]
 	if !ok || e.id != id || e.ended {
 		return
@@ -152,13 +163,13 @@
 	}
 }
 
-// Len returns how many claims take up memory.
+// Len returns the number of claims in memory, including released ones.
 func (h *Holder) Len() int { return len(h.order) }
 
-// forget drops claims whose window has passed.
-func (h *Holder) forget(now coltsfootward.Instant) {
+// expire removes claims whose retention has ended.
+func (h *Holder) expire(now coltsfootward.Instant) {
 	count := 0
-	for count < len(h.order) && now.Monotonic-h.order[count].granted >= h.options.kept() {
+	for count < len(h.order) && now.Monotonic-h.order[count].granted >= h.options.retention() {
 		e := h.order[count]
 		if h.claims[e.key] == e {
 			delete(h.claims, e.key)
--- a/core/claim/mint.go
+++ b/core/claim/key.go
@@ -7,11 +7,11 @@
 	"github.com/google/uuid"
 )
 
-// domainSeparator divides the failure domain from the rest of a key that names
-// one, as in "north:0193…".
+// domainSeparator separates the failure domain from the rest of a key, as in
+// "north:0193…".
 const domainSeparator = ":"
 
-// Domain returns the failure domain that the key names, or the empty text.
+// Domain returns the failure domain named by the key, or "" if it names none.
 func (k Key) Domain() string {
 	domain, _, found := strings.Cut(k.Text, domainSeparator)
 	if !found {
@@ -20,9 +20,9 @@
 	return domain
 }
 
-// minted returns when the key was made, if it says so: a UUID of version 7
-// carries its time.
-func (k Key) minted() (time.Time, bool) {
+// createdAt returns the key's creation time, or false if the key contains none. A
+// UUID of version 7 contains its creation time.
+func (k Key) createdAt() (time.Time, bool) {
 	text := k.Text
 	if _, rest, found := strings.Cut(text, domainSeparator); found {
 		text = rest
