--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -1,74 +1,77 @@
-// Package attempt decides how the attempts of one request are shared out down
-// the call chain. It holds plain values and no state shared between nodes: each
-// node keeps the escrow of the requests that its own backend server serves.
+// Package attempt decides how the attempt budget of a request is divided among the
+// calls in its call chain. No state is shared between nodes: each node keeps the
+// budgets of the requests that its own backend server is serving.
 package attempt
 
 import "coltsfootward"
 
-// Escrow holds the attempts that one request in service, and all calls below
-// it, may still use. Create it with NewEscrow. It is not safe for concurrent use.
+// Escrow is the attempt budget of one request in service and of all calls below it.
+// Create it with NewEscrow. It is not safe for concurrent use.
 //
-// Every attempt is in exactly one place: used, in the remainder, or in the
-// slice of a child. So the sum over the chain never exceeds what the entry
-// node gave out, whatever order children begin, end or get lost in.
+// Every attempt is either used, in the remainder, or allocated to one child call.
+// The sum over the call chain therefore never exceeds the entry node's budget, in
+// whatever order child calls begin, end or are lost.
 type Escrow struct {
-	budget    int
-	remaining int
-	needed    int
-	begun     map[coltsfootward.ServiceName]int
+	total      int
+	remaining  int
+	needed     int
+	childCalls map[coltsfootward.ServiceName]int
 }
 
-// NewEscrow returns the escrow of a request that came with a budget of at
-// least 1. The request's own dispatch has used one attempt of it.
+// NewEscrow returns the budget of a request that arrived with the given number of
+// attempts, at least 1. The request's own dispatch has used one of them.
 func NewEscrow(budget int) *Escrow {
-	return &Escrow{budget: budget, remaining: budget - 1, needed: 1}
+	return &Escrow{total: budget, remaining: budget - 1, needed: 1}
 }
 
-// Take moves the slice of a child out of the remainder, at most want. Zero means
-// that the remainder is used up.
+// Take allocates attempts from the remainder to a child call, at most want, and
+// returns their number. Zero means that the remainder is used up.
 //
-// A backend server may make its calls all at once. Were the first child given
-// the whole remainder, its siblings would be refused while it returns most of
-// its slice unused. So each gets its part by need. Of a surplus that is large
-// enough, what one more attempt of the child needs stays for whichever child
-// fails first; the rest goes down, where another attempt costs least.
+// A backend server may make its calls concurrently. If the first child were given
+// the whole remainder, its siblings would be refused while it returns most of its
+// allocation unused. Each child therefore gets a part in proportion to its need.
+// If the surplus is large enough, the need of one more attempt of this child stays
+// in the remainder for whichever child fails first. The rest is allocated down the
+// chain, where another attempt costs least.
 func (e *Escrow) Take(service coltsfootward.ServiceName, want int, f *Forecast) int {
 	need := f.Need(service)
-	ahead := max(f.ahead(e.begun, service), need)
-	if e.begun == nil {
-		e.begun = make(map[coltsfootward.ServiceName]int)
+	totalNeed := max(f.upcomingNeed(e.childCalls, service), need)
+	if e.childCalls == nil {
+		e.childCalls = make(map[coltsfootward.ServiceName]int)
 	}
-	e.begun[service]++
-	share := (e.remaining*need + ahead - 1) / ahead
-	if surplus := e.remaining - ahead; surplus >= need && f.Knows(service) {
-		share = need + (surplus-need)*need/ahead
+	e.childCalls[service]++
+	share := (e.remaining*need + totalNeed - 1) / totalNeed
+	if surplus := e.remaining - totalNeed; surplus >= need && f.Knows(service) {
+		share = need + (surplus-need)*need/totalNeed
 	}
-	return e.take(min(want, share))
+	return e.withdraw(min(want, share))
 }
 
-// TopUp moves up to want further attempts to a child that failed. What the
-// children still to come need stays.
+// TopUp allocates up to want further attempts to a child call that failed and
+// returns their number. The expected need of later child calls stays in the
+// remainder.
 func (e *Escrow) TopUp(want int, f *Forecast) int {
-	return e.take(min(want, e.remaining-f.expected(e.begun)))
+	return e.withdraw(min(want, e.remaining-f.expectedNeed(e.childCalls)))
 }
 
-func (e *Escrow) take(count int) int {
+func (e *Escrow) withdraw(count int) int {
 	taken := max(count, 0)
 	e.remaining -= taken
 	return taken
 }
 
-// GiveBack returns what a child certainly did not use.
+// GiveBack adds attempts that a child call certainly did not use back to the
+// remainder.
 func (e *Escrow) GiveBack(unused int) { e.remaining += unused }
 
-// Answered takes in that an answered child needed that many attempts, those
-// that failed left out.
+// Answered records the number of attempts that a successful child call needed,
+// without failed attempts.
 func (e *Escrow) Answered(needed int) { e.needed += needed }
 
-// Needed returns how many attempts the request would have used so far, had none
-// below it failed.
+// Needed returns the number of attempts that the request would have used so far if
+// none below it had failed.
 func (e *Escrow) Needed() int { return e.needed }
 
-// Used returns how many attempts the request and all below it have used or may
-// still use.
-func (e *Escrow) Used() int { return e.budget - e.remaining }
+// Used returns the number of attempts that the request and all calls below it have
+// used or may still use.
+func (e *Escrow) Used() int { return e.total - e.remaining }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -2,98 +2,101 @@
 
 import "time"
 
-// Kind says for whom a request is attempted again.
+// Kind classifies a request for the retry budget.
 type Kind string
 
-// The kinds of request, as far as repeats of them are concerned.
+// The kinds of request. A leaf request needs no further services.
 const (
-	// KindCaller is a caller's request that needs no further service.
+	// KindCaller is a caller's leaf request.
 	KindCaller Kind = "caller"
-	// KindCall is a backend server's call that needs none.
+	// KindCall is a backend server's call that is a leaf request.
 	KindCall Kind = "call"
 	// KindCallerAbove is a caller's request that needs further services.
 	KindCallerAbove Kind = "caller_above"
-	// KindCallAbove is a call that does.
+	// KindCallAbove is a backend server's call that needs further services.
 	KindCallAbove Kind = "call_above"
 )
 
-// The part of a service's share that all its repeats together may have reached
-// for a request of the kind to be repeated. A repeat of a request that needs
-// further services has their work repeated too, and counts at each of them, so
-// those above stop sooner: with a chain of four services that all fail, a tenth
-// of the requests at the top is repeated, and what that brings to the deepest one
-// leaves it something of its own. The last tenth of the share is left for requests
-// whose first attempt is still under way.
+// The thresholds are the fractions of a service's share up to which a request of
+// the kind may be retried, counting all retries to the service. A retry of a
+// non-leaf request also repeats the work of the services below, and counts as a
+// retry at each of them, so non-leaf requests have lower thresholds: in a chain of
+// four services that all fail, a tenth of the requests at the top are retried, and
+// the resulting load leaves the deepest service some retries of its own. The last
+// tenth of the share is reserved for requests whose first attempt is still in
+// flight.
 const (
-	callerPart      = 0.90
-	callPart        = 0.80
-	callAbovePart   = 0.60
-	callerAbovePart = 0.45
-	// capacityPart is the part of the fleet's saved repeats that may be spent
-	// beside the share, divided among the nodes.
-	capacityPart = 0.4
-	// budgetStep is how finely time is counted, and budgetSteps the time in which
-	// repeats are held against requests: at least ten seconds with the newest step
-	// only begun.
-	budgetStep  = 500 * time.Millisecond
-	budgetSteps = 21
+	callerThreshold        = 0.90
+	callThreshold          = 0.80
+	callNonLeafThreshold   = 0.60
+	callerNonLeafThreshold = 0.45
+	// burstFraction is the fraction of the fleet's burst of retries that may be used
+	// in addition to the share, divided among the nodes.
+	burstFraction = 0.4
+	// windowStep is the resolution of the sliding window and windowSteps its length
+	// in steps. The window covers at least ten seconds when its newest step has only
+	// begun.
+	windowStep  = 500 * time.Millisecond
+	windowSteps = 21
 )
 
-// Budget bounds the repeats of one service's requests from one node, as a share
-// of the requests that the node has for it in any ten seconds, so that the bound
-// holds for all nodes together without any agreement. What one second does not
-// need another may spend: servers that lose a quarter of their answers for four
-// seconds are made up for whole, where an even stream of repeats would cover a
-// third. The zero value allows nothing. It is not safe for concurrent use.
+// Budget limits one node's retries to one service to a share of the node's requests
+// to it within any ten seconds, so that the limit holds for all nodes together
+// without coordination. Retries that are not needed in one second may be used in
+// another: if servers lose a quarter of their responses for four seconds, all of
+// these requests are retried, where a constant rate of retries would cover a
+// third. The zero value allows no retries. It is not safe for concurrent use.
 //
-// Calls that a repeated request makes are repeats at the services called, and
-// nobody can refuse them there; they are counted first. Callers' own requests go
-// before calls, several of which one request needs: for what callers have lately
-// wanted repeated, calls leave room.
+// Calls made by a retried request are retries at the called services and cannot be
+// refused there, so they are counted first. Callers' own requests take precedence
+// over calls, since one request may need several calls: calls leave room for the
+// retries that callers' requests have needed within the window.
 type Budget struct {
-	// Share is what repeats may be of the requests.
+	// Share is the largest ratio of retries to requests.
 	Share float64
-	// Saved is how many repeats this node may save up.
+	// Saved is this node's part of the fleet's burst of retries, in retries.
 	Saved float64
 
-	steps [budgetSteps]budgetCounts
+	// steps is a ring buffer of the counts per step, total their sum.
+	steps [windowSteps]budgetCounts
 	total budgetCounts
 	// step numbers the newest step, counted from time zero.
 	step int64
 }
 
-// budgetCounts is what was counted in one step, or in all.
+// budgetCounts are the counts of one step, or of the whole window.
 type budgetCounts struct {
-	// requests counts first attempts, inherited those of them that a repeated
-	// request above made.
+	// requests counts first attempts, inherited those of them that are calls made
+	// by a retried request.
 	requests, inherited int
-	// wanted counts the repeats of callers' own requests that were asked for,
-	// callers those that were allowed, calls the other repeats.
-	wanted, callers, calls int
+	// callerWanted counts the requested retries of callers' leaf requests,
+	// callerAllowed the allowed ones, and otherAllowed the allowed retries of all
+	// other requests.
+	callerWanted, callerAllowed, otherAllowed int
 }
 
 func (s *budgetCounts) add(o budgetCounts, times int) {
 	s.requests += times * o.requests
 	s.inherited += times * o.inherited
-	s.wanted += times * o.wanted
-	s.callers += times * o.callers
-	s.calls += times * o.calls
+	s.callerWanted += times * o.callerWanted
+	s.callerAllowed += times * o.callerAllowed
+	s.otherAllowed += times * o.otherAllowed
 }
 
-// advance forgets what is too old.
+// advance moves the window to now and returns the counts of the newest step.
 func (b *Budget) advance(now time.Duration) *budgetCounts {
-	number := int64(now / budgetStep)
-	for b.step = max(b.step, number-budgetSteps); b.step < number; {
+	number := int64(now / windowStep)
+	for b.step = max(b.step, number-windowSteps); b.step < number; {
 		b.step++
-		old := &b.steps[b.step%budgetSteps]
+		old := &b.steps[b.step%windowSteps]
 		b.total.add(*old, -1)
 		*old = budgetCounts{}
 	}
-	return &b.steps[b.step%budgetSteps]
+	return &b.steps[b.step%windowSteps]
 }
 
-// Requested counts a request's first attempt; inherited is set if it is a call
-// that a repeated request makes.
+// Requested counts a request's first attempt. inherited is set if the request is a
+// call made by a retried request.
 func (b *Budget) Requested(now time.Duration, inherited bool) {
 	counted := budgetCounts{requests: 1}
 	if inherited {
@@ -107,40 +110,40 @@
 	b.total.add(counted, 1)
 }
 
-// Take reports whether one more repeat is allowed, and counts it if so.
+// Take reports whether one more retry is allowed, and counts it if so.
 func (b *Budget) Take(now time.Duration, kind Kind) bool {
 	if kind == KindCaller {
-		b.count(now, budgetCounts{wanted: 1})
+		b.count(now, budgetCounts{callerWanted: 1})
 	} else {
 		b.advance(now)
 	}
-	spent := b.total.inherited + b.total.calls
+	spent := b.total.inherited + b.total.otherAllowed
 	if kind == KindCaller {
-		spent += b.total.callers
+		spent += b.total.callerAllowed
 	} else {
-		spent += b.total.wanted
+		spent += b.total.callerWanted
 	}
-	most := b.Share*partOf(kind)*float64(b.total.requests) + capacityPart*b.Saved
-	if float64(spent+1) > most {
+	limit := b.Share*threshold(kind)*float64(b.total.requests) + burstFraction*b.Saved
+	if float64(spent+1) > limit {
 		return false
 	}
 	if kind == KindCaller {
-		b.count(now, budgetCounts{callers: 1})
+		b.count(now, budgetCounts{callerAllowed: 1})
 	} else {
-		b.count(now, budgetCounts{calls: 1})
+		b.count(now, budgetCounts{otherAllowed: 1})
 	}
 	return true
 }
 
-func partOf(kind Kind) float64 {
+func threshold(kind Kind) float64 {
 	switch kind {
 	case KindCaller:
-		return callerPart
+		return callerThreshold
 	case KindCall:
-		return callPart
+		return callThreshold
 	case KindCallerAbove:
-		return callerAbovePart
+		return callerNonLeafThreshold
 	default:
-		return callAbovePart
+		return callNonLeafThreshold
 	}
 }
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -10,17 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// Every request to a service fails, from callers and from calls of other
-// services, and all would be repeated. The repeats of all nodes stay within the
-// share of the requests in every window, which an overloaded service can bear.
+// Guards against a retry storm: all requests to a service fail, from callers and
+// from other services, and all would be retried. The retries of all nodes together
+// must stay within the share of the requests, which an overloaded service can
+// handle.
 func TestBudgetHoldsTheShare(t *testing.T) {
-	const nodes, share, saved = 16, 0.2, 48
+	const nodes, share, burst = 16, 0.2, 48
 	budgets := make([]retry.Budget, nodes)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
 		for i := range budgets {
 			b := &budgets[i]
-			b.Share, b.Saved = share, float64(saved)/nodes
+			b.Share, b.Saved = share, float64(burst)/nodes
 			for n := range 10 {
 				kind := retry.KindCall
 				if n == 0 {
@@ -29,20 +30,21 @@
 				b.Requested(now, false)
 				requests++
 				for b.Take(now, kind) {
-					repeats++
+					retries++
 				}
 			}
 		}
 	}
-	if most := share*float64(requests) + saved; float64(repeats) > most {
-		t.Errorf("got %d repeats of %d requests, want at most %.0f", repeats, requests, most)
+	if most := share*float64(requests) + burst; float64(retries) > most {
+		t.Errorf("got %d retries of %d requests, want at most %.0f", retries, requests, most)
 	}
 }
 
-// A server rejects half of what it gets. Callers' own requests are few among the
-// calls, and get enough repeats that nearly all of them are served; shared out
-// alike, they would fail as often as calls whose parents fail anyway.
-func TestCallersGoFirst(t *testing.T) {
+// A server rejects half of its requests. Callers' own requests are a small part of
+// all requests and get enough retries that nearly all of them are served. If
+// retries were distributed evenly, they would fail as often as calls whose parent
+// requests fail anyway.
+func TestCallersTakePrecedence(t *testing.T) {
 	b := retry.Budget{Share: 0.2, Saved: 3}
 	var got [2]int
 	const rounds = 1000
@@ -60,26 +62,27 @@
 		}
 	}
 	if got[0] < rounds*95/100 {
-		t.Errorf("callers got %d repeats for %d requests, want at least 95 in 100", got[0], rounds)
+		t.Errorf("callers got %d retries for %d requests, want at least 95 in 100", got[0], rounds)
 	}
 	if most := rounds * 10 * 20 / 100; got[0]+got[1] > most {
-		t.Errorf("got %d repeats in all for %d requests, want at most %d", got[0]+got[1], 10*rounds, most)
+		t.Errorf("got %d retries in all for %d requests, want at most %d", got[0]+got[1], 10*rounds, most)
 	}
 }
 
-// Requests come and fail as they like, callers' own and calls, some of them made by
-// repeated requests. In any ten seconds that end with a repeat, the repeats stay
-// within the share: a service that fails everything bears a fifth more, and not
-// twice as much. Ten seconds that end later have the same repeats, and the requests
-// for those lie in the time before.
+// Guards against a service that fails all requests getting more than its share of
+// retries: a fifth more load, not twice the load. Requests arrive and fail at
+// random, callers' own and calls, some of them made by retried requests. In any ten
+// seconds that end with a retry, the retries must stay within the share. Windows
+// that end between two retries are not checked: they contain the same retries, and
+// the requests that allowed these came before.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	kinds := []retry.Kind{retry.KindCaller, retry.KindCall, retry.KindCallerAbove, retry.KindCallAbove}
 	rapid.Check(t, func(t *rapid.T) {
-		const share, saved = 0.2, 5.0
-		b := retry.Budget{Share: share, Saved: saved}
+		const share, burst = 0.2, 5.0
+		b := retry.Budget{Share: share, Saved: burst}
 		type counted struct {
-			at                          time.Duration
-			requests, inherited, repeat int
+			at                           time.Duration
+			requests, inherited, retries int
 		}
 		var events []counted
 		now := time.Duration(0)
@@ -97,7 +100,7 @@
 				b.Requested(now, e.inherited > 0)
 				for range failing {
 					if b.Take(now, kind) {
-						e.repeat++
+						e.retries++
 					}
 				}
 				events = append(events, e)
@@ -108,26 +111,27 @@
 			for j := i; j >= 0 && events[i].at-events[j].at <= 10*time.Second; j-- {
 				sum.requests += events[j].requests
 				sum.inherited += events[j].inherited
-				sum.repeat += events[j].repeat
+				sum.retries += events[j].retries
 			}
-			// Requests of the half second before the window may have counted too.
+			// Requests within the half second before the window may count too.
 			for j := range events {
 				if d := events[i].at - events[j].at; d > 10*time.Second && d <= 10500*time.Millisecond {
 					sum.requests++
 				}
 			}
-			most := share*float64(sum.requests) + saved
-			if events[i].repeat > 0 && float64(sum.repeat) > most {
-				t.Fatalf("%d repeats for %d requests in the ten seconds up to %v, want at most %.1f", sum.repeat, sum.requests, events[i].at, most)
+			most := share*float64(sum.requests) + burst
+			if events[i].retries > 0 && float64(sum.retries) > most {
+				t.Fatalf("%d retries for %d requests in the ten seconds up to %v, want at most %.1f", sum.retries, sum.requests, events[i].at, most)
 			}
 		}
 	})
 }
 
-// Servers lose a quarter of their answers for four seconds, after a calm time. The
-// calm has earned enough that each lost call is made again; with a steady trickle
-// two thirds of them failed, and nearly every request that needs ten of them.
-func TestShortTroubleIsMadeUpFor(t *testing.T) {
+// Servers lose a quarter of their responses for four seconds after a time without
+// failures. The requests of that time allow a retry of each lost call. With a
+// constant rate of retries two thirds of the lost calls failed, and nearly every
+// request that needs ten calls.
+func TestShortFailureIsFullyRetried(t *testing.T) {
 	b := retry.Budget{Share: 0.2}
 	wanted, got := 0, 0
 	for i := range 1200 {
@@ -141,6 +145,6 @@
 		}
 	}
 	if got < wanted {
-		t.Errorf("got %d repeats for %d lost calls, want all", got, wanted)
+		t.Errorf("got %d retries for %d lost calls, want all", got, wanted)
 	}
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A service fails everything. Whatever came before, retries are at most a
-// tenth of the successes, what may be saved up, and one a second.
+// A service fails all requests. After any history the retries are bounded by a
+// tenth of the successes plus the capacity plus one per second.
 func TestAllowanceBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a retry.Allowance
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestRareFailureInCalmIsRetried(t *testing.T) {
+func TestRareFailureIsRetried(t *testing.T) {
 	var a retry.Allowance
 	now := time.Duration(0)
 	for range int(2 * retry.Capacity) {
