--- a/core/membership/slope_test.go
+++ b/core/membership/benchmark_test.go
@@ -12,13 +12,14 @@
 	"coltsfootward/core/message"
 )
 
-// The benchmarks give the slopes of docs/CAPACITY.md. Run them once each:
+// The benchmarks measure how the costs in docs/CAPACITY.md grow with the number of
+// nodes. Run each once:
 //
 //	go test ./core/membership -run '^$' -bench . -benchtime 1x
 
-const measured = time.Minute
+const measuredTime = time.Minute
 
-// BenchmarkQuiet gives what a node sends while nothing changes.
+// BenchmarkQuiet measures the messages and bytes that a node sends while nothing changes.
 func BenchmarkQuiet(b *testing.B) {
 	for _, size := range []int{52, 100, 200, 400} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -26,14 +27,14 @@
 				c := newCluster(1)
 				c.populate(4, size/4)
 				c.run(2 * time.Minute)
-				report(b, c, size, func() { c.run(measured) })
+				report(b, c, size, func() { c.run(measuredTime) })
 			}
 		})
 	}
 }
 
-// BenchmarkChurn gives what a node sends while members change what they offer,
-// at ten times the target's rate of news.
+// BenchmarkChurn measures the messages and bytes that a node sends while members change
+// their announcements, at ten times the target's rate of updates.
 func BenchmarkChurn(b *testing.B) {
 	for _, size := range []int{52, 100, 200, 400} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -45,7 +46,7 @@
 					for range 60 {
 						m := c.members[c.source.IntN(size)]
 						m.machine.Announce("service-0", c.source.IntN(100)+1, false)
-						c.run(measured / 60)
+						c.run(measuredTime / 60)
 					}
 				})
 			}
@@ -53,13 +54,14 @@
 	}
 }
 
-// report runs a minute with messages weighed and reports them per node.
+// report calls run, which must simulate one minute, and reports the messages, bytes,
+// peers and processor time per node.
 func report(b *testing.B, c *cluster, size int, run func()) {
-	c.weigh, c.messages, c.bytes, c.links = true, 0, 0, make(map[[2]coltsfootward.InstanceID]bool)
-	began := time.Now()
+	c.countBytes, c.messages, c.bytes, c.links = true, 0, 0, make(map[[2]coltsfootward.InstanceID]bool)
+	start := time.Now()
 	run()
-	elapsed := time.Since(began)
-	perNode := float64(size) * measured.Seconds()
+	elapsed := time.Since(start)
+	perNode := float64(size) * measuredTime.Seconds()
 	b.ReportMetric(float64(c.messages)/perNode, "messages/s/node")
 	b.ReportMetric(float64(c.bytes)/perNode, "bytes/s/node")
 	b.ReportMetric(float64(len(c.links))/float64(size), "peers/node")
@@ -67,9 +69,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// roster returns a machine that knows size members, in 18 domains and 1,500
-// services, and the news of them.
-func roster(size int) (*membership.Machine, []message.News) {
+// machineWithMembers returns a machine with size members, in 18 domains and 1,500 services, and the
+// updates with which they were added.
+func machineWithMembers(size int) (*membership.Machine, []message.News) {
 	self := coltsfootward.Instance{ID: "self", Domain: "d00", Address: "10.0.0.1:7000", Incarnation: 1}
 	options := membership.Options{Self: self, Send: func(coltsfootward.Instance, message.Message) {}}
 	m := membership.New(options, rand.New(rand.NewPCG(1, 2)), coltsfootward.At(time.Hour))
@@ -87,7 +89,7 @@
 	return m, page.News
 }
 
-// BenchmarkRosterMemory gives the memory of a roster.
+// BenchmarkRosterMemory measures the memory of a roster.
 func BenchmarkRosterMemory(b *testing.B) {
 	for _, size := range []int{6000, 12000, 24000} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
@@ -95,7 +97,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				m, _ := roster(size)
+				m, _ := machineWithMembers(size)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "bytes/member")
@@ -106,18 +108,18 @@
 	}
 }
 
-// BenchmarkReceiveGossip gives the processor time of one gossip message with
-// its full number of news, at a full roster.
+// BenchmarkReceiveGossip measures the processor time of one gossip message with the
+// maximum number of updates, at a full roster.
 func BenchmarkReceiveGossip(b *testing.B) {
 	for _, size := range []int{6000, 24000} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
-			m, news := roster(size)
+			m, updates := machineWithMembers(size)
 			now := coltsfootward.At(2 * time.Hour)
 			b.ResetTimer()
 			for i := range b.N {
 				gossip := &message.Gossip{}
 				for k := range 8 {
-					n := &news[(i*8+k)%size]
+					n := &updates[(i*8+k)%size]
 					n.Announcement.Version++
 					gossip.News = append(gossip.News, *n)
 				}
@@ -127,11 +129,11 @@
 	}
 }
 
-// BenchmarkTick gives the processor time of a tick at a full roster.
+// BenchmarkTick measures the processor time of a tick at a full roster.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []int{6000, 24000} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
-			m, _ := roster(size)
+			m, _ := machineWithMembers(size)
 			now := coltsfootward.At(2 * time.Hour)
 			b.ResetTimer()
 			for range b.N {
@@ -142,10 +144,10 @@
 	}
 }
 
-// BenchmarkUpstreams gives the processor time of a look-up of a service's 16
-// backend servers at a full roster.
+// BenchmarkUpstreams measures the processor time of a look-up of a service's 16 backend
+// servers at a full roster.
 func BenchmarkUpstreams(b *testing.B) {
-	m, _ := roster(24000)
+	m, _ := machineWithMembers(24000)
 	b.ResetTimer()
 	for range b.N {
 		if got := len(m.Upstreams("service-0007")); got != 16 {
@@ -154,21 +156,21 @@
 	}
 }
 
-// BenchmarkFirstRoster gives what a fresh node costs its contact until it knows
-// all members.
+// BenchmarkFirstRoster measures the time and the bytes until a new node has received a
+// full roster from its contact.
 func BenchmarkFirstRoster(b *testing.B) {
 	for _, size := range []int{6000, 24000} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
 			for range b.N {
 				c := newCluster(1)
 				first := c.add("first", "d00", 1)
-				_, news := roster(size)
-				first.machine.Receive(coltsfootward.At(c.now), "nobody", &message.RosterPage{News: news}, 0)
-				c.weigh = true
-				fresh := c.add("fresh", "d00", 1)
-				took, ok := c.until(10*time.Minute, func() bool { return len(fresh.machine.All()) >= size })
+				_, updates := machineWithMembers(size)
+				first.machine.Receive(coltsfootward.At(c.now), "nobody", &message.RosterPage{News: updates}, 0)
+				c.countBytes = true
+				joined := c.add("fresh", "d00", 1)
+				took, ok := c.runUntil(10*time.Minute, func() bool { return len(joined.machine.All()) >= size })
 				if !ok {
-					b.Fatalf("the fresh node knows %d of %d", len(fresh.machine.All()), size)
+					b.Fatalf("the new node has %d of %d members", len(joined.machine.All()), size)
 				}
 				b.ReportMetric(took.Seconds(), "s")
 				b.ReportMetric(float64(c.bytes)/1e6, "MB")
--- a/core/membership/broadcast_test.go
+++ b/core/membership/broadcast_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// broadcast is the naive version: whatever a member says reaches all others at
-// once and for certain.
+// broadcast is the reference model: every announcement reaches all members immediately
+// and reliably.
 type broadcast map[coltsfootward.InstanceID]offer
 
 type offer struct {
@@ -33,32 +33,32 @@
 	return found
 }
 
-// Members announce, drain, die and are replaced while domains are cut off from
-// each other and messages are lost. Within two minutes after the last trouble,
-// every member has to offer exactly what a broadcast to all would have told it.
-func TestGossipAgreesWithBroadcast(t *testing.T) {
+// Members announce, drain, die and are replaced while domains are partitioned and
+// messages are lost. Within two minutes after the last fault, every member must return
+// the same upstreams as the reference model.
+func TestGossipMatchesReliableBroadcast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.Uint64().Draw(t, "seed"))
 		c.populate(3, 5)
 		c.run(20 * time.Second)
-		naive := make(broadcast)
+		model := make(broadcast)
 		for _, m := range c.members {
-			naive[m.self.ID] = offer{service: m.machine.Local().Service}
+			model[m.self.ID] = offer{service: m.machine.Local().Service}
 		}
 		for range rapid.IntRange(3, 15).Draw(t, "steps") {
-			step(t, c, naive)
+			runStep(t, c, model)
 			c.run(time.Duration(rapid.IntRange(1, 8000).Draw(t, "milliseconds")) * time.Millisecond)
 		}
 		c.blocked = nil
 		var difference string
-		agree := func() bool { difference = disagreement(c, naive); return difference == "" }
-		if _, ok := c.until(2*time.Minute, agree); !ok {
+		agree := func() bool { difference = disagreement(c, model); return difference == "" }
+		if _, ok := c.runUntil(2*time.Minute, agree); !ok {
 			t.Fatal(difference)
 		}
 	})
 }
 
-func step(t *rapid.T, c *cluster, naive broadcast) {
+func runStep(t *rapid.T, c *cluster, model broadcast) {
 	id := coltsfootward.InstanceID(fmt.Sprintf("d%02d-%05d", rapid.IntRange(0, 2).Draw(t, "domain"), rapid.IntRange(0, 4).Draw(t, "member")))
 	m := c.byID[id]
 	service := coltsfootward.ServiceName(fmt.Sprintf("service-%d", rapid.IntRange(0, 3).Draw(t, "service")))
@@ -66,23 +66,24 @@
 	case "announce":
 		if m.alive {
 			m.machine.Announce(service, 5, false)
-			naive[id] = offer{service: service}
+			model[id] = offer{service: service}
 		}
 	case "drain":
 		if m.alive {
 			m.machine.Announce(service, 5, true)
-			naive[id] = offer{service: service, draining: true}
+			model[id] = offer{service: service, draining: true}
 		}
 	case "kill":
-		// The first is everybody's contact, and a domain keeps two.
-		if id != c.members[0].self.ID && c.livingIn(m.self.Domain) > 2 {
+		// The first member is the contact of all others and must live. Each domain
+		// must keep two live members.
+		if id != c.members[0].self.ID && c.liveCountIn(m.self.Domain) > 2 {
 			m.alive = false
-			delete(naive, id)
+			delete(model, id)
 		}
 	case "replace":
 		if id != c.members[0].self.ID {
 			c.add(string(id), string(m.self.Domain), m.self.Incarnation+1).machine.Announce(service, 7, false)
-			naive[id] = offer{service: service}
+			model[id] = offer{service: service}
 		}
 	case "cut":
 		c.blocked = func(from, to coltsfootward.Instance) bool {
@@ -95,7 +96,7 @@
 	}
 }
 
-func (c *cluster) livingIn(domain coltsfootward.FailureDomain) int {
+func (c *cluster) liveCountIn(domain coltsfootward.FailureDomain) int {
 	count := 0
 	for _, m := range c.byID {
 		if m.alive && m.self.Domain == domain {
@@ -105,7 +106,7 @@
 	return count
 }
 
-func disagreement(c *cluster, naive broadcast) string {
+func disagreement(c *cluster, model broadcast) string {
 	for _, m := range c.members {
 		if !m.alive {
 			continue
@@ -116,8 +117,8 @@
 			for _, a := range m.machine.Upstreams(service) {
 				got = append(got, a.Instance.ID)
 			}
-			if want := naive.upstreams(service); !slices.Equal(got, want) {
-				return fmt.Sprintf("%s offers %v of %s, want %v", m.self.ID, got, service, want)
+			if want := model.upstreams(service); !slices.Equal(got, want) {
+				return fmt.Sprintf("%s returns upstreams %v of %s, want %v", m.self.ID, got, service, want)
 			}
 		}
 	}
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	clusterTick = 50 * time.Millisecond
-	clusterLink = time.Millisecond
+	tickInterval = 50 * time.Millisecond
+	linkDelay    = time.Millisecond
 )
 
-// cluster drives machines alone, under a virtual clock.
+// cluster runs membership machines, without the rest of a node, under a virtual clock.
 type cluster struct {
 	now     time.Duration
 	queue   deliveries
@@ -26,12 +26,12 @@
 	source  *rand.Rand
 	members []*clusterMember
 	byID    map[coltsfootward.InstanceID]*clusterMember
-	// blocked decides whether a message is lost.
+	// blocked reports whether a message is lost.
 	blocked func(from, to coltsfootward.Instance) bool
-	// weigh turns on the counting of bytes.
-	weigh           bool
+	// countBytes enables the counting of bytes and links.
+	countBytes      bool
 	messages, bytes int
-	// links holds who sent to whom while bytes are counted.
+	// links contains each pair of sender and receiver seen while countBytes is set.
 	links map[[2]coltsfootward.InstanceID]bool
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// populate adds count members to each domain, all in contact with the first of
-// all, each with a backend server of a service of its domain's number.
+// populate adds count members to each domain. All have the very first member as their
+// contact. Each announces a backend server; the services go round-robin.
 func (c *cluster) populate(domains, count int) {
 	for d := range domains {
 		for i := range count {
@@ -77,7 +77,7 @@
 	if c.members[0] != m {
 		m.machine.Contact(coltsfootward.At(c.now), c.members[0].self)
 	}
-	c.after(time.Duration(c.source.Int64N(int64(clusterTick))), m.tick)
+	c.schedule(time.Duration(c.source.Int64N(int64(tickInterval))), m.tick)
 	return m
 }
 
@@ -86,13 +86,13 @@
 		return
 	}
 	m.machine.Tick(coltsfootward.At(m.cluster.now))
-	m.cluster.after(clusterTick, m.tick)
+	m.cluster.schedule(tickInterval, m.tick)
 }
 
 func (m *clusterMember) send(to coltsfootward.Instance, sent message.Message) {
 	c := m.cluster
 	c.messages++
-	if c.weigh {
+	if c.countBytes {
 		data, err := msgpack.Marshal(sent)
 		if err != nil {
 			panic(err)
@@ -103,15 +103,15 @@
 	if c.blocked != nil && c.blocked(m.self, to) {
 		return
 	}
-	c.after(clusterLink, func() {
+	c.schedule(linkDelay, func() {
 		target, ok := c.byID[to.ID]
 		if ok && target.alive {
-			target.machine.Receive(coltsfootward.At(c.now), m.self.ID, sent, clusterLink)
+			target.machine.Receive(coltsfootward.At(c.now), m.self.ID, sent, linkDelay)
 		}
 	})
 }
 
-func (c *cluster) after(d time.Duration, f func()) {
+func (c *cluster) schedule(d time.Duration, f func()) {
 	c.order++
 	heap.Push(&c.queue, delivery{c.now + d, c.order, f})
 }
@@ -126,20 +126,21 @@
 	c.now = end
 }
 
-// until runs until done holds, for at most limit, and returns how long it took.
-func (c *cluster) until(limit time.Duration, done func() bool) (time.Duration, bool) {
-	began := c.now
+// runUntil runs runUntil done returns true, at most for limit. It returns the elapsed time
+// and whether done returned true.
+func (c *cluster) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
+	start := c.now
 	for !done() {
-		if c.now-began >= limit {
-			return c.now - began, false
+		if c.now-start >= limit {
+			return c.now - start, false
 		}
 		c.run(100 * time.Millisecond)
 	}
-	return c.now - began, true
+	return c.now - start, true
 }
 
-// all reports whether the condition holds at every living member.
-func (c *cluster) all(condition func(m *clusterMember) bool) bool {
+// allLive reports whether the condition is true for every live member.
+func (c *cluster) allLive(condition func(m *clusterMember) bool) bool {
 	for _, m := range c.members {
 		if m.alive && !condition(m) {
 			return false
@@ -148,7 +149,7 @@
 	return true
 }
 
-func (c *cluster) living() int {
+func (c *cluster) liveCount() int {
 	count := 0
 	for _, m := range c.members {
 		if m.alive {
@@ -159,8 +160,8 @@
 }
 
 func (c *cluster) converged() bool {
-	living := c.living()
-	return c.all(func(m *clusterMember) bool { return m.machine.Size() == living })
+	live := c.liveCount()
+	return c.allLive(func(m *clusterMember) bool { return m.machine.Size() == live })
 }
 
 type delivery struct {
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -9,51 +9,53 @@
 	"coltsfootward/core/message"
 )
 
-// Machine is one node's view of all others. Create it with New.
+// Machine is the membership state machine of one node. Create it with New.
 type Machine struct {
-	options Options
-	source  *rand.Rand
-	now     coltsfootward.Instant
-	self    message.News
-	roster  *roster
-	queue   *queue
-	probes  prober
-	views   map[coltsfootward.FailureDomain]*view
-	// foreign lists the other failure domains that have members, sorted.
-	foreign []coltsfootward.FailureDomain
-	// suspects holds the suspected members of the own domain.
+	options      Options
+	source       *rand.Rand
+	now          coltsfootward.Instant
+	self         message.News
+	roster       *roster
+	queue        *queue
+	probes       prober
+	domainStates map[coltsfootward.FailureDomain]*domainState
+	// remoteDomains lists the other failure domains that have members, sorted.
+	remoteDomains []coltsfootward.FailureDomain
+	// suspects lists the suspected members of this node's failure domain, sorted.
 	suspects []coltsfootward.InstanceID
 
-	ticked     time.Duration
+	lastTick   time.Duration
 	nextGossip time.Duration
 	nextSync   time.Duration
 	nextSweep  time.Duration
-	// syncPeer is whom the next comparison continues with; empty means that a
-	// random member is chosen.
-	syncPeer coltsfootward.InstanceID
-	syncMore bool
+	// syncPeer is the member with which the next comparison of rosters continues;
+	// empty means that a random member is chosen.
+	syncPeer       coltsfootward.InstanceID
+	syncIncomplete bool
 }
 
-// view is what this node knows of a failure domain by its own evidence.
-type view struct {
-	// unanswered counts probes in a row that no member answered.
+// domainState is the reachability of a failure domain as this node has observed it.
+type domainState struct {
+	// unanswered counts consecutive probes that no member of the domain answered.
 	unanswered  int
 	unreachable bool
-	// heard is when a member was last heard, by Instant.Expiry.
-	heard time.Duration
-	known bool
+	// lastSeen is when the latest message of a member was sent, by Instant.Expiry.
+	// It is valid only if seen is set.
+	lastSeen time.Duration
+	seen     bool
 }
 
-// New returns a machine that knows only itself. All random choices come from source.
+// New returns a machine whose roster contains only its own node. All random
+// choices come from source.
 func New(options Options, source *rand.Rand, now coltsfootward.Instant) *Machine {
 	m := &Machine{
-		options: options.withDefaults(),
-		source:  source,
-		now:     now,
-		roster:  newRoster(),
-		queue:   newQueue(),
-		views:   make(map[coltsfootward.FailureDomain]*view),
-		ticked:  now.Monotonic,
+		options:      options.withDefaults(),
+		source:       source,
+		now:          now,
+		roster:       newRoster(),
+		queue:        newQueue(),
+		domainStates: make(map[coltsfootward.FailureDomain]*domainState),
+		lastTick:     now.Monotonic,
 	}
 	m.probes.next = now.Monotonic + m.jitter(m.options.ProbeInterval)
 	m.nextSync = now.Monotonic + m.jitter(m.options.SyncInterval)
@@ -62,8 +64,8 @@
 	return m
 }
 
-// jitter returns a random part of d, so that nodes started together do not act
-// together ever after.
+// jitter returns a random duration below d. It keeps nodes that were started
+// together from running their periodic work in lockstep.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.source.Int64N(int64(d)))
 }
@@ -71,13 +73,14 @@
 // Local returns this node's own announcement.
 func (m *Machine) Local() message.Announcement { return m.self.Announcement }
 
-// Announce spreads what the local backend server offers.
+// Announce publishes the service, slots and draining state of the local backend
+// server.
 func (m *Machine) Announce(service coltsfootward.ServiceName, slots int, draining bool) {
 	m.AnnounceCold(service, slots, draining, 0)
 }
 
-// AnnounceCold spreads what the local backend server offers and how much longer
-// it is slow after its start.
+// AnnounceCold is Announce with the remaining time for which the backend server is
+// slow after its start.
 func (m *Machine) AnnounceCold(service coltsfootward.ServiceName, slots int, draining bool, cold time.Duration) {
 	m.publish(func(a *message.Announcement) {
 		a.Cold = cold
@@ -87,7 +90,7 @@
 	})
 }
 
-// Leave spreads that the node takes no new work and is about to stop.
+// Leave publishes that the node accepts no new work and is about to stop.
 func (m *Machine) Leave() {
 	m.publish(func(a *message.Announcement) {
 		a.Draining = true
@@ -95,8 +98,9 @@
 	})
 }
 
-// Left tells a few members at once that the node stops now. If none of them
-// hears it, the node is found out by probes like one that was killed.
+// Left notifies a few members immediately that the node stops now. If none of the
+// messages arrives, the other members detect the stop by probes, as they detect a
+// killed node.
 func (m *Machine) Left() {
 	m.self.State = message.MemberLeft
 	m.publish(func(*message.Announcement) {})
@@ -112,16 +116,17 @@
 	m.queue.add(m.self)
 }
 
-// Tick lets time pass.
+// Tick runs all work that is due at now: probes, timeouts, gossip and the
+// comparison of rosters.
 func (m *Machine) Tick(now coltsfootward.Instant) {
 	m.now = now
-	m.forgivePause()
+	m.discountPause()
 	m.expireProbes()
-	m.matureSuspects()
+	m.expireSuspects()
 	if now.Monotonic >= m.probes.next {
 		m.probes.next = now.Monotonic + m.options.ProbeInterval
-		m.probeOwn()
-		m.probeForeign()
+		m.probeLocal()
+		m.probeRemote()
 	}
 	if now.Monotonic >= m.nextGossip && len(m.queue.items) > 0 {
 		m.nextGossip = now.Monotonic + m.options.GossipInterval
@@ -134,265 +139,271 @@
 	m.sweep()
 }
 
-// forgivePause guards against a node that was paused and finds, on waking, that
-// all its probes went unanswered and all its suspicions are due: the answers
-// wait unread in its buffers. Nothing that fell into the pause counts.
-func (m *Machine) forgivePause() {
-	gap := m.now.Monotonic - m.ticked
-	m.ticked = m.now.Monotonic
+// discountPause excludes a pause of this node from all timeouts. After a pause,
+// every pending probe appears unanswered and every suspicion appears due, although
+// the answers wait unread in the socket buffers. Pending probes are discarded and
+// suspicions are extended by the length of the pause.
+func (m *Machine) discountPause() {
+	gap := m.now.Monotonic - m.lastTick
+	m.lastTick = m.now.Monotonic
 	if gap < pauseGap {
 		return
 	}
 	m.probes.pending = nil
 	for _, id := range m.suspects {
-		if line, ok := m.roster.members[id]; ok {
-			line.since += gap
+		if entry, ok := m.roster.members[id]; ok {
+			entry.stateSince += gap
 		}
 	}
 }
 
-// Receive takes a member's message. Age is an upper bound of the time since it
-// was sent. Messages of other parts count only as a sign of life.
+// Receive processes a message from a member. Age is an upper bound of the time since
+// the message was sent. Messages that do not belong to the membership protocol only
+// show that their sender is alive.
 func (m *Machine) Receive(now coltsfootward.Instant, from coltsfootward.InstanceID, received message.Message, age time.Duration) {
 	m.now = now
 	switch r := received.(type) {
 	case *message.Announcement:
-		m.take(message.News{Announcement: *r, State: message.MemberAlive}, true)
+		m.merge(message.News{Announcement: *r, State: message.MemberAlive}, true)
 	case *message.Gossip:
-		m.takeAll(r.News)
+		m.mergeAll(r.News)
 	case *message.Probe:
-		m.probed(from, r)
+		m.handleProbe(from, r)
 	case *message.ProbeRequest:
-		m.probeRequested(from, r)
+		m.handleProbeRequest(from, r)
 	case *message.ProbeAnswer:
-		m.takeAll(r.Gossip.News)
-		m.answered(r.Sequence)
+		m.mergeAll(r.Gossip.News)
+		m.handleProbeAnswer(r.Sequence)
 	case *message.RosterDigest:
-		m.compare(from, r)
+		m.handleRosterDigest(from, r)
 	case *message.RosterBuckets:
-		m.compareBuckets(from, r)
+		m.handleRosterBuckets(from, r)
 	case *message.RosterPage:
-		m.page(from, r)
+		m.handleRosterPage(from, r)
 	}
-	m.heard(from, age)
+	m.markSeen(from, age)
 }
 
-// heard notes a sign of life. It reopens a failure domain that was held for
-// cut off.
-func (m *Machine) heard(from coltsfootward.InstanceID, age time.Duration) {
-	line, ok := m.roster.members[from]
+// markSeen records that a message of the member arrived, and marks its failure
+// domain as reachable again.
+func (m *Machine) markSeen(from coltsfootward.InstanceID, age time.Duration) {
+	entry, ok := m.roster.members[from]
 	if !ok {
 		return
 	}
 	at := m.now.Expiry - age
-	if !line.known || at > line.heard {
-		line.heard, line.known = at, true
+	if !entry.seen || at > entry.lastSeen {
+		entry.lastSeen, entry.seen = at, true
 	}
-	v := m.view(line.domain())
-	if !v.known || at > v.heard {
-		v.heard, v.known = at, true
+	state := m.domainState(entry.domain())
+	if !state.seen || at > state.lastSeen {
+		state.lastSeen, state.seen = at, true
 	}
 	if m.isolated() {
-		m.returned()
+		m.announceReturn()
 	}
 	m.probes.unanswered = 0
-	v.unanswered = 0
-	if v.unreachable {
-		v.unreachable = false
-		m.options.Reachable(line.domain(), true)
-		m.syncWith(line)
+	state.unanswered = 0
+	if state.unreachable {
+		state.unreachable = false
+		m.options.Reachable(entry.domain(), true)
+		m.syncWith(entry)
 	}
 }
 
-// returned tells members of the own domain that this node hears others again. They may
-// hold it for gone; left to gossip, some would go by that for seconds more and do its
-// duties beside it.
-func (m *Machine) returned() {
+// announceReturn notifies members of this node's failure domain directly that it is
+// connected again. They may have declared this node gone in the meantime. If only
+// gossip corrected that, some members would keep the stale state for several seconds
+// and perform this node's duties at the same time as this node.
+func (m *Machine) announceReturn() {
 	m.publish(func(*message.Announcement) {})
 	list := m.roster.domains[m.options.Self.Domain]
 	start := m.position(list)
 	for i := range min(len(list), returnTargets) {
-		if line := list[(start+i)%len(list)]; line.id() != m.options.Self.ID {
-			m.send(line, &message.Gossip{News: []message.News{m.self}, Digest: m.options.Digest()})
+		if entry := list[(start+i)%len(list)]; entry.id() != m.options.Self.ID {
+			m.send(entry, &message.Gossip{News: []message.News{m.self}, Digest: m.options.Digest()})
 		}
 	}
 }
 
-func (m *Machine) view(domain coltsfootward.FailureDomain) *view {
-	v, ok := m.views[domain]
+func (m *Machine) domainState(domain coltsfootward.FailureDomain) *domainState {
+	state, ok := m.domainStates[domain]
 	if !ok {
-		v = &view{}
-		m.views[domain] = v
+		state = &domainState{}
+		m.domainStates[domain] = state
 	}
-	return v
+	return state
 }
 
-func (m *Machine) takeAll(news []message.News) {
-	for _, n := range news {
-		m.take(n, true)
+func (m *Machine) mergeAll(updates []message.News) {
+	for _, n := range updates {
+		m.merge(n, true)
 	}
 }
 
-// take takes in news unless it is old, and reports whether it did. Hot news is
-// passed on.
-func (m *Machine) take(news message.News, hot bool) bool {
-	id := news.Announcement.Instance.ID
+// merge applies an update unless it is stale, and reports whether it was applied. If
+// spread is set, an applied update is queued for gossip.
+func (m *Machine) merge(update message.News, spread bool) bool {
+	id := update.Announcement.Instance.ID
 	if id == m.options.Self.ID {
-		m.refute(news)
+		m.refute(update)
 		return false
 	}
-	line, ok := m.roster.members[id]
-	if ok && !news.Newer(line.news) {
+	entry, ok := m.roster.members[id]
+	if ok && !update.Newer(entry.latest) {
 		return false
 	}
-	// Whoever has forgotten a member that is gone must not learn of it again
-	// from one who has not yet, or the two would remember it for ever.
-	if !ok && (news.State == message.MemberGone || news.State == message.MemberLeft) {
+	// A node that has removed a gone member must not add it again on the update of a
+	// node that still has it. Otherwise the two would re-add it for each other for ever.
+	if !ok && (update.State == message.MemberGone || update.State == message.MemberLeft) {
 		return false
 	}
-	m.put(news, hot)
+	m.apply(update, spread)
 	return true
 }
 
-func (m *Machine) put(news message.News, hot bool) {
-	id := news.Announcement.Instance.ID
+func (m *Machine) apply(update message.News, spread bool) {
+	id := update.Announcement.Instance.ID
 	var old message.News
-	if line, ok := m.roster.members[id]; ok {
-		old = line.news
+	if entry, ok := m.roster.members[id]; ok {
+		old = entry.latest
 	}
-	line := m.roster.put(news)
-	line.since = m.now.Monotonic
-	if old.Announcement.Instance.Incarnation != news.Announcement.Instance.Incarnation {
-		line.known = false
+	entry := m.roster.put(update)
+	entry.stateSince = m.now.Monotonic
+	if old.Announcement.Instance.Incarnation != update.Announcement.Instance.Incarnation {
+		entry.seen = false
 	}
-	m.noteDomain(line.domain())
-	m.noteSuspect(line)
-	if hot {
-		m.queue.add(news)
+	m.trackDomain(entry.domain())
+	m.trackSuspect(entry)
+	if spread {
+		m.queue.add(update)
 	}
-	m.options.Changed(old, news)
+	m.options.Changed(old, update)
 }
 
-func (m *Machine) noteDomain(domain coltsfootward.FailureDomain) {
+func (m *Machine) trackDomain(domain coltsfootward.FailureDomain) {
 	if domain == m.options.Self.Domain {
 		return
 	}
-	if i, ok := slices.BinarySearch(m.foreign, domain); !ok {
-		m.foreign = slices.Insert(m.foreign, i, domain)
+	if i, ok := slices.BinarySearch(m.remoteDomains, domain); !ok {
+		m.remoteDomains = slices.Insert(m.remoteDomains, i, domain)
 	}
 }
 
-func (m *Machine) noteSuspect(line *member) {
-	if line.domain() != m.options.Self.Domain {
+func (m *Machine) trackSuspect(entry *member) {
+	if entry.domain() != m.options.Self.Domain {
 		return
 	}
-	i, known := slices.BinarySearch(m.suspects, line.id())
-	suspected := line.news.State == message.MemberSuspected
-	if suspected && !known {
-		m.suspects = slices.Insert(m.suspects, i, line.id())
+	i, tracked := slices.BinarySearch(m.suspects, entry.id())
+	suspected := entry.latest.State == message.MemberSuspected
+	if suspected && !tracked {
+		m.suspects = slices.Insert(m.suspects, i, entry.id())
 	}
-	if !suspected && known {
+	if !suspected && tracked {
 		m.suspects = slices.Delete(m.suspects, i, i+1)
 	}
 }
 
-// refute overrides what others say of this run of this node by a higher version.
-// News of another run is not answered: the later run is the one that counts.
-func (m *Machine) refute(news message.News) {
-	a := news.Announcement
-	if a.Instance.Incarnation != m.options.Self.Incarnation || !news.Newer(m.self) {
+// refute overrides an update about this node by announcing a higher version. An
+// update with another incarnation is ignored: the higher incarnation prevails anyway.
+func (m *Machine) refute(update message.News) {
+	a := update.Announcement
+	if a.Instance.Incarnation != m.options.Self.Incarnation || !update.Newer(m.self) {
 		return
 	}
 	m.self.Announcement.Version = a.Version
 	m.publish(func(*message.Announcement) {})
 }
 
-// matureSuspects declares those gone that had their time to refute.
-func (m *Machine) matureSuspects() {
+// expireSuspects declares suspected members gone that did not refute the suspicion
+// within the timeout.
+func (m *Machine) expireSuspects() {
 	timeout := m.options.SuspicionTimeout
 	if m.isolated() {
 		timeout *= isolatedFactor
 	}
 	for _, id := range slices.Clone(m.suspects) {
-		line := m.roster.members[id]
-		if m.now.Monotonic-line.since < timeout {
+		entry := m.roster.members[id]
+		if m.now.Monotonic-entry.stateSince < timeout {
 			continue
 		}
-		news := line.news
-		news.State = message.MemberGone
-		m.put(news, true)
+		update := entry.latest
+		update.State = message.MemberGone
+		m.apply(update, true)
 	}
 }
 
-// sweep forgets, once a minute, members that are gone for long.
+// sweep removes, once a minute, members that have been gone for longer than
+// Options.ForgetAfter.
 func (m *Machine) sweep() {
 	if m.now.Monotonic < m.nextSweep {
 		return
 	}
 	m.nextSweep = m.now.Monotonic + time.Minute
 	for _, bucket := range m.roster.buckets {
-		for _, line := range slices.Clone(bucket) {
-			if !line.present() && line.id() != m.options.Self.ID && m.now.Monotonic-line.since > m.options.ForgetAfter {
-				m.roster.remove(line)
+		for _, entry := range slices.Clone(bucket) {
+			if !entry.present() && entry.id() != m.options.Self.ID && m.now.Monotonic-entry.stateSince > m.options.ForgetAfter {
+				m.roster.remove(entry)
 			}
 		}
 	}
 }
 
-// gossip passes news on to a few members.
+// gossip sends queued updates to a few members.
 func (m *Machine) gossip() {
 	targets := m.targets()
 	if len(targets) == 0 {
 		return
 	}
 	for _, target := range targets {
-		m.send(target, &message.Gossip{News: m.news(), Digest: m.options.Digest()})
+		m.send(target, &message.Gossip{News: m.nextUpdates(), Digest: m.options.Digest()})
 	}
 }
 
-// targets returns some fingers and the partner in one other domain.
+// targets returns some random fingers and the counterpart in one random remote
+// domain.
 func (m *Machine) targets() []*member {
 	chosen := m.someFingers(gossipTargets - 1)
-	if len(m.foreign) == 0 {
+	if len(m.remoteDomains) == 0 {
 		return chosen
 	}
-	if line := m.partner(m.foreign[m.source.IntN(len(m.foreign))]); line != nil {
-		chosen = append(chosen, line)
+	if entry := m.counterpart(m.remoteDomains[m.source.IntN(len(m.remoteDomains))]); entry != nil {
+		chosen = append(chosen, entry)
 	}
 	return chosen
 }
 
-// randomMember returns a random present member of a domain other than this
-// node, or nil.
-func (m *Machine) randomMember(domain coltsfootward.FailureDomain) *member {
-	return m.pick(domain, (*member).present)
+// randomPresent returns a random present member of a domain other than this node,
+// or nil.
+func (m *Machine) randomPresent(domain coltsfootward.FailureDomain) *member {
+	return m.randomMatching(domain, (*member).present)
 }
 
-// pick returns a member of a domain other than this node that fits, the first
-// from a random place on, or nil.
-func (m *Machine) pick(domain coltsfootward.FailureDomain, fits func(*member) bool) *member {
+// randomMatching returns the first member of a domain, starting at a random
+// position, that matches and is not this node, or nil.
+func (m *Machine) randomMatching(domain coltsfootward.FailureDomain, matches func(*member) bool) *member {
 	list := m.roster.domains[domain]
 	if len(list) == 0 {
 		return nil
 	}
 	start := m.source.IntN(len(list))
 	for i := range list {
-		line := list[(start+i)%len(list)]
-		if fits(line) && line.id() != m.options.Self.ID {
-			return line
+		entry := list[(start+i)%len(list)]
+		if matches(entry) && entry.id() != m.options.Self.ID {
+			return entry
 		}
 	}
 	return nil
 }
 
-// news returns what is to travel with the next message.
-func (m *Machine) news() []message.News {
-	return m.queue.take(m.retransmissions())
+// nextUpdates returns the updates to send with the next message.
+func (m *Machine) nextUpdates() []message.News {
+	return m.queue.next(m.retransmissions())
 }
 
-// retransmissions is how often each node passes news on: in proportion to the
-// logarithm of their number, which is what it takes to reach all with near
-// certainty.
+// retransmissions returns how often each node sends an update. It is proportional to
+// the logarithm of the number of members, which is enough to reach all of them with
+// near certainty.
 func (m *Machine) retransmissions() int {
 	digits := 1
 	for n := m.roster.present; n >= 10; n /= 10 {
@@ -402,5 +413,5 @@
 }
 
 func (m *Machine) send(to *member, sent message.Message) {
-	m.options.Send(to.news.Announcement.Instance, sent)
+	m.options.Send(to.latest.Announcement.Instance, sent)
 }
--- a/core/membership/neighbour.go
+++ b/core/membership/neighbour.go
@@ -7,81 +7,85 @@
 	"coltsfootward/core/message"
 )
 
-// Nodes talk mostly to the same few others: a probe of a new member each second
-// would keep hundreds of connections open. All order the members of a domain by
-// the same hash; in that ring a node probes those next to it and passes news on
-// to those at distances of 1, 2, 4 and so on, so that news still reaches all in
-// a number of steps that is the logarithm of theirs.
+// Each node communicates mostly with a small, fixed set of members: probing a
+// different member each second would keep hundreds of connections open. All nodes
+// order the members of a domain by the same hash, as a ring. A node probes its
+// successors in the ring and gossips to its fingers, the members at distances of
+// 1, 2, 4 and so on. An update thus still reaches all members in a number of steps
+// that is logarithmic in the number of members.
 
 const (
-	// successors is how many members after it each node probes in turn. So each
-	// is probed about once a second, by eight others.
+	// successors is the number of members after this node in the ring that it probes
+	// in turn. Each member is therefore probed by eight others, about once a second.
 	successors = 8
-	// strayProbe is after how many probes one goes to any member at all: that
-	// is how those that were declared gone across a cut find each other again,
-	// and how a domain is not judged by one member of it.
-	strayProbe = 8
+	// randomProbePeriod is the number of probes of which one goes to a random member.
+	// By such probes, members that declared each other gone during a network
+	// partition find each other again, and the reachability of a domain does not
+	// depend on a single member.
+	randomProbePeriod = 8
 )
 
-// position returns the place of this node, by its hash, among the members of a
+// position returns the index at which this node's hash sorts among the members of a
 // domain.
 func (m *Machine) position(list []*member) int {
 	i, _ := slices.BinarySearchFunc(list, m.roster.members[m.options.Self.ID], byHash)
 	return i
 }
 
-// presentFrom returns the first present member other than this node at or after
-// a place in the ring, or nil.
-func (m *Machine) presentFrom(list []*member, place int) *member {
+// presentFrom returns the first present member other than this node at or after a
+// position in the ring, or nil.
+func (m *Machine) presentFrom(list []*member, index int) *member {
 	for i := range list {
-		line := list[(place+i)%len(list)]
-		if line.present() && line.id() != m.options.Self.ID {
-			return line
+		entry := list[(index+i)%len(list)]
+		if entry.present() && entry.id() != m.options.Self.ID {
+			return entry
 		}
 	}
 	return nil
 }
 
-// successor returns the member that is that many present ones after this node,
-// counting round the ring, or nil if there is no other.
+// successor returns the present member at the given distance after this node in the
+// ring, or nil if there is no other present member. Only present members count
+// towards the distance.
 func (m *Machine) successor(distance int) *member {
 	list := m.roster.domains[m.options.Self.Domain]
-	place := m.position(list)
-	var line *member
+	index := m.position(list)
+	var entry *member
 	for range distance {
-		line = m.presentFrom(list, place+1)
-		if line == nil {
+		entry = m.presentFrom(list, index+1)
+		if entry == nil {
 			return nil
 		}
-		place, _ = slices.BinarySearchFunc(list, line, byHash)
+		index, _ = slices.BinarySearchFunc(list, entry, byHash)
 	}
-	return line
+	return entry
 }
 
-// fingers returns the members of the own domain at distances of powers of two.
+// fingers returns the present members of this node's domain at distances that are
+// powers of two.
 func (m *Machine) fingers() []*member {
 	list := m.roster.domains[m.options.Self.Domain]
-	place := m.position(list)
+	index := m.position(list)
 	var found []*member
 	for distance := 1; distance < len(list); distance *= 2 {
-		line := m.presentFrom(list, place+distance)
-		if line != nil && !slices.Contains(found, line) {
-			found = append(found, line)
+		entry := m.presentFrom(list, index+distance)
+		if entry != nil && !slices.Contains(found, entry) {
+			found = append(found, entry)
 		}
 	}
 	return found
 }
 
-// someFingers returns up to count of them, chosen at random.
+// someFingers returns up to count random fingers.
 func (m *Machine) someFingers(count int) []*member {
 	found := m.fingers()
 	m.source.Shuffle(len(found), func(i, k int) { found[i], found[k] = found[k], found[i] })
 	return found[:min(count, len(found))]
 }
 
-// partner returns the member of another domain that has this node's place in
-// that domain's ring, or nil.
-func (m *Machine) partner(domain coltsfootward.FailureDomain) *member {
+// counterpart returns the present member of another domain at or after the position
+// that this node's hash has in that domain's ring, or nil.
+func (m *Machine) counterpart(domain coltsfootward.FailureDomain) *member {
 	list := m.roster.domains[domain]
 	if len(list) == 0 {
 		return nil
@@ -89,8 +93,8 @@
 	return m.presentFrom(list, m.position(list))
 }
 
-// anyMember returns a random member of a domain that has not left, gone or not,
-// or nil.
-func (m *Machine) anyMember(domain coltsfootward.FailureDomain) *member {
-	return m.pick(domain, func(line *member) bool { return line.news.State != message.MemberLeft })
+// randomNotLeft returns a random member of a domain that has not left, or nil. The
+// member may be gone.
+func (m *Machine) randomNotLeft(domain coltsfootward.FailureDomain) *member {
+	return m.randomMatching(domain, func(entry *member) bool { return entry.latest.State != message.MemberLeft })
 }
--- a/core/membership/options.go
+++ b/core/membership/options.go
@@ -14,31 +14,32 @@
 	Self coltsfootward.Instance
 	// Send sends a message, which may be lost.
 	Send func(to coltsfootward.Instance, m message.Message)
-	// Digest returns what is to travel with all gossip; nil means nothing.
+	// Digest returns the configuration digest to send with all gossip; nil means an
+	// empty digest.
 	Digest func() message.ConfigurationDigest
-	// Changed is told of every change of a member's state that this node takes
-	// in; nil means that nobody is.
-	Changed func(old, news message.News)
-	// Reachable is told when a failure domain is lost or found again; nil
-	// means that nobody is.
+	// Changed is called for every update of another member that this node applies. It
+	// may be nil.
+	Changed func(old, update message.News)
+	// Reachable is called when another failure domain becomes unreachable or reachable
+	// again. It may be nil.
 	Reachable func(domain coltsfootward.FailureDomain, reachable bool)
-	// ProbeInterval is the time between two probes, in the node's own domain
-	// and across domains alike. The default is 1 s.
+	// ProbeInterval is the time between two probes, both within the node's domain and
+	// across domains. The default is 1 s.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a probe waits before others are asked to probe
-	// in its place; they get twice as long. The default is 500 ms.
+	// ProbeTimeout is how long a direct probe may remain unanswered before indirect
+	// probes are requested. Those get twice as long. The default is 500 ms.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspected member has to refute that. The
-	// default is 4 s.
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion
+	// before it is declared gone. The default is 4 s.
 	SuspicionTimeout time.Duration
-	// GossipInterval is the time between two rounds of gossip while there is
-	// news. The default is 200 ms.
+	// GossipInterval is the time between two rounds of gossip while updates are
+	// queued. The default is 200 ms.
 	GossipInterval time.Duration
-	// SyncInterval is the time between two comparisons of the roster with that
+	// SyncInterval is the time between two comparisons of the roster with the roster
 	// of a random member. The default is 10 s.
 	SyncInterval time.Duration
-	// ForgetAfter is how long a member that is gone is remembered and now and
-	// then probed. The default is 1 h.
+	// ForgetAfter is how long a member that is gone or has left stays in the roster.
+	// A gone member is still probed occasionally. The default is 1 h.
 	ForgetAfter time.Duration
 }
 
@@ -53,44 +54,46 @@
 )
 
 const (
-	// indirectProbes is how many others probe a member that did not answer.
-	// Three of them all lose their way to a live member only if it is cut off
-	// from most of the domain.
+	// indirectProbes is the number of other members that are asked to probe a member
+	// that did not answer. All three fail to reach a live member only if that member
+	// is partitioned from most of the domain.
 	indirectProbes = 3
-	// gossipTargets is how many members hear of news in each round: two of the
-	// own domain and one of another. Each round about quadruples who knows.
+	// gossipTargets is the number of members that receive updates in each round: two
+	// of this node's domain and one of another. Each round about quadruples the number
+	// of members that have an update.
 	gossipTargets = 3
-	// maximumNews bounds the news of one message to about 1.2 KB, so that churn
-	// of any size, such as half a domain lost behind a switch, costs a node at
-	// most about 15 KB a second in each direction.
-	maximumNews = 8
-	// retransmitFactor times the decimal digits of the number of members is
-	// how often each node passes a piece of news on.
+	// maximumUpdates bounds the updates of one message to about 1.2 KB. Churn of any
+	// size, such as the loss of half a domain behind a switch, thus costs a node at
+	// most about 15 KB/s in each direction.
+	maximumUpdates = 8
+	// retransmitFactor times the number of decimal digits of the member count is how
+	// often each node sends an update.
 	retransmitFactor = 6
-	// isolatedFactor stretches the suspicion of a node that hears nobody: then
-	// its own link is the likelier culprit than all of its peers.
+	// isolatedFactor multiplies the suspicion timeout of a node that receives no
+	// messages: a fault of its own link is then more likely than a fault of all peers.
 	isolatedFactor = 5
-	// returnTargets bounds how many members a node tells by itself that it is back
-	// after it was cut off: all of a domain of dozens, and few enough for one of a
-	// thousand whose switch comes back.
+	// returnTargets bounds the number of members that a node notifies directly after
+	// its isolation ends. It covers a whole domain of dozens of members, and limits
+	// the load when the switch of a domain of a thousand members recovers.
 	returnTargets = 64
-	// isolatedProbes is how many probes in a row go unanswered before a node
-	// holds its own link for broken.
+	// isolatedProbes is the number of consecutive unanswered probes after which a node
+	// considers its own link broken.
 	isolatedProbes = 3
-	// unreachableProbes is how many probes in a row go unanswered before a
-	// failure domain is held for cut off.
+	// unreachableProbes is the number of consecutive unanswered probes after which a
+	// failure domain is considered unreachable.
 	unreachableProbes = 3
-	// pauseGap is the time between two ticks that shows that the node was
-	// paused: what it waited for may sit unread in its buffers.
+	// pauseGap is the time between two ticks from which on the node is considered to
+	// have been paused: answers to its probes may wait unread in its socket buffers.
 	pauseGap = 300 * time.Millisecond
-	// bucketCount is into how many parts a roster is divided for comparison. At
-	// 24,000 members a part has about 94.
+	// bucketCount is the number of buckets into which a roster is divided for
+	// comparison. With 24,000 members a bucket has about 94.
 	bucketCount = 256
-	// pageNews bounds the members of a page, and so its size to about 100 KB.
-	pageNews = 400
-	// hotPage is how many new members a page may bring that are passed on as
-	// news. A larger page is another's whole roster; others compare theirs.
-	hotPage = 64
+	// maximumPageEntries bounds the members of a page, and thus its size to about 100 KB.
+	maximumPageEntries = 400
+	// gossipPageLimit is the number of new entries in a page up to which they are
+	// gossiped. A page with more is part of a full roster transfer, and other nodes
+	// receive those entries by their own comparisons.
+	gossipPageLimit = 64
 )
 
 func (o Options) withDefaults() Options {
@@ -112,8 +115,8 @@
 	return o
 }
 
-func setDefault(value *time.Duration, standard time.Duration) {
+func setDefault(value *time.Duration, fallback time.Duration) {
 	if *value <= 0 {
-		*value = standard
+		*value = fallback
 	}
 }
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -8,129 +8,132 @@
 	"coltsfootward/core/message"
 )
 
-// prober holds the probes that wait for an answer, oldest first.
+// prober is the state of the failure detector. The pending probes are ordered from
+// oldest to newest.
 type prober struct {
 	pending  []*probe
 	sequence uint64
 	next     time.Duration
-	// cursor walks over the next members of the own domain, foreignCursor over
-	// the other domains.
-	cursor        int
-	foreignCursor int
-	// unanswered counts probes in a row without a sign of life from anybody.
+	// cursor iterates over the successors in this node's domain, remoteCursor over
+	// the remote domains.
+	cursor       int
+	remoteCursor int
+	// unanswered counts the unanswered probes since the latest message of any member.
 	unanswered int
 }
 
-// probe waits for one answer.
+// probe is a probe that waits for an answer.
 type probe struct {
 	sequence uint64
 	target   coltsfootward.InstanceID
 	sent     time.Duration
-	// foreign marks a probe of another failure domain.
-	foreign bool
-	// indirect is set once others were asked to probe too.
+	// remote marks a probe of another failure domain.
+	remote bool
+	// indirect is set once indirect probes have been requested.
 	indirect bool
-	// requester asked for the probe; empty means that it is this node's own.
+	// requester is the member that requested this indirect probe; empty means that the
+	// probe is direct.
 	requester coltsfootward.InstanceID
-	// requested is the requester's sequence.
-	requested uint64
+	// requesterSequence is the sequence number of the requester's probe.
+	requesterSequence uint64
 }
 
 func (m *Machine) isolated() bool { return m.probes.unanswered >= isolatedProbes }
 
-// probeOwn probes the next of the members after this node in the ring, and now
-// and then any, also one that is gone: that is how a domain that was cut in two
-// comes together again.
-func (m *Machine) probeOwn() {
+// probeLocal probes the next of this node's successors in the ring, and occasionally
+// a random member, which may be gone: such probes reunite a domain after a network
+// partition has split it.
+func (m *Machine) probeLocal() {
 	m.probes.cursor++
-	line := m.successor(1 + m.probes.cursor%successors)
-	if m.probes.cursor%strayProbe == 0 || line == nil {
-		line = m.anyMember(m.options.Self.Domain)
+	entry := m.successor(1 + m.probes.cursor%successors)
+	if m.probes.cursor%randomProbePeriod == 0 || entry == nil {
+		entry = m.randomNotLeft(m.options.Self.Domain)
 	}
-	if line != nil {
-		m.probe(line, &probe{})
+	if entry != nil {
+		m.probe(entry, &probe{})
 	}
 }
 
-// probeForeign probes a member of another domain: any of one whose last probe
-// went unanswered, so that a cut is found in seconds, else this node's partner
-// in each in turn.
-func (m *Machine) probeForeign() {
-	if len(m.foreign) == 0 {
+// probeRemote probes a member of another domain. A domain whose last probe was
+// unanswered goes first, with a random member, so that a network partition is
+// detected within seconds. Otherwise the domains take turns and this node's
+// counterpart there is probed.
+func (m *Machine) probeRemote() {
+	if len(m.remoteDomains) == 0 {
 		return
 	}
-	if domain := m.doubtful(); domain != "" {
-		m.probeAny(domain)
+	if domain := m.unansweredDomain(); domain != "" {
+		m.probeRandom(domain)
 		return
 	}
-	m.probes.foreignCursor++
-	domain := m.foreign[m.probes.foreignCursor%len(m.foreign)]
-	line := m.partner(domain)
-	if m.source.IntN(strayProbe) == 0 || line == nil {
-		m.probeAny(domain)
+	m.probes.remoteCursor++
+	domain := m.remoteDomains[m.probes.remoteCursor%len(m.remoteDomains)]
+	entry := m.counterpart(domain)
+	if m.source.IntN(randomProbePeriod) == 0 || entry == nil {
+		m.probeRandom(domain)
 		return
 	}
-	m.probe(line, &probe{foreign: true})
+	m.probe(entry, &probe{remote: true})
 }
 
-func (m *Machine) probeAny(domain coltsfootward.FailureDomain) {
-	line := m.randomMember(domain)
-	if line == nil {
-		line = m.anyMember(domain)
+func (m *Machine) probeRandom(domain coltsfootward.FailureDomain) {
+	entry := m.randomPresent(domain)
+	if entry == nil {
+		entry = m.randomNotLeft(domain)
 	}
-	if line != nil {
-		m.probe(line, &probe{foreign: true})
+	if entry != nil {
+		m.probe(entry, &probe{remote: true})
 	}
 }
 
-func (m *Machine) doubtful() coltsfootward.FailureDomain {
-	for _, domain := range m.foreign {
-		if v := m.view(domain); v.unanswered > 0 && !v.unreachable {
+func (m *Machine) unansweredDomain() coltsfootward.FailureDomain {
+	for _, domain := range m.remoteDomains {
+		if state := m.domainState(domain); state.unanswered > 0 && !state.unreachable {
 			return domain
 		}
 	}
 	return ""
 }
 
-func (m *Machine) probe(line *member, p *probe) {
+func (m *Machine) probe(entry *member, p *probe) {
 	m.probes.sequence++
 	p.sequence = m.probes.sequence
-	p.target = line.id()
+	p.target = entry.id()
 	p.sent = m.now.Monotonic
 	m.probes.pending = append(m.probes.pending, p)
-	m.send(line, &message.Probe{Sequence: p.sequence, Self: m.self, Gossip: m.gossipFor(line)})
+	m.send(entry, &message.Probe{Sequence: p.sequence, Self: m.self, Gossip: m.gossipFor(entry)})
 }
 
-// gossipFor returns the gossip for a member; one that is held for dead is told
-// so, for it to refute.
-func (m *Machine) gossipFor(line *member) message.Gossip {
-	news := m.news()
-	if line.news.State != message.MemberAlive {
-		news = append(news, line.news)
+// gossipFor returns the gossip for a member. For a member that is not considered
+// alive, it includes that member's state, so that the member can refute it.
+func (m *Machine) gossipFor(entry *member) message.Gossip {
+	updates := m.nextUpdates()
+	if entry.latest.State != message.MemberAlive {
+		updates = append(updates, entry.latest)
 	}
-	return message.Gossip{News: news, Digest: m.options.Digest()}
+	return message.Gossip{News: updates, Digest: m.options.Digest()}
 }
 
-func (m *Machine) probed(from coltsfootward.InstanceID, r *message.Probe) {
-	m.take(r.Self, true)
-	m.takeAll(r.Gossip.News)
-	m.answer(from, r.Sequence)
+func (m *Machine) handleProbe(from coltsfootward.InstanceID, r *message.Probe) {
+	m.merge(r.Self, true)
+	m.mergeAll(r.Gossip.News)
+	m.sendProbeAnswer(from, r.Sequence)
 }
 
-func (m *Machine) answer(to coltsfootward.InstanceID, sequence uint64) {
-	if line, ok := m.roster.members[to]; ok {
-		m.send(line, &message.ProbeAnswer{Sequence: sequence, Gossip: m.gossipFor(line)})
+func (m *Machine) sendProbeAnswer(to coltsfootward.InstanceID, sequence uint64) {
+	if entry, ok := m.roster.members[to]; ok {
+		m.send(entry, &message.ProbeAnswer{Sequence: sequence, Gossip: m.gossipFor(entry)})
 	}
 }
 
-func (m *Machine) probeRequested(from coltsfootward.InstanceID, r *message.ProbeRequest) {
-	m.takeAll(r.Gossip.News)
-	if line, ok := m.roster.members[r.Target]; ok {
-		m.probe(line, &probe{requester: from, requested: r.Sequence})
+func (m *Machine) handleProbeRequest(from coltsfootward.InstanceID, r *message.ProbeRequest) {
+	m.mergeAll(r.Gossip.News)
+	if entry, ok := m.roster.members[r.Target]; ok {
+		m.probe(entry, &probe{requester: from, requesterSequence: r.Sequence})
 	}
 }
 
-func (m *Machine) answered(sequence uint64) {
+func (m *Machine) handleProbeAnswer(sequence uint64) {
 	i := slices.IndexFunc(m.probes.pending, func(p *probe) bool { return p.sequence == sequence })
 	if i < 0 {
 		return
@@ -138,71 +141,72 @@
 	p := m.probes.pending[i]
 	m.probes.pending = slices.Delete(m.probes.pending, i, i+1)
 	if p.requester != "" {
-		m.answer(p.requester, p.requested)
+		m.sendProbeAnswer(p.requester, p.requesterSequence)
 	}
 }
 
-// expireProbes asks others to probe whoever did not answer, and draws the
-// conclusion once they had their time too.
+// expireProbes requests indirect probes of members that did not answer in time, and
+// handles the timeout once the time for the indirect probes has passed too.
 func (m *Machine) expireProbes() {
 	for _, p := range slices.Clone(m.probes.pending) {
 		waited := m.now.Monotonic - p.sent
 		switch {
 		case waited >= 3*m.options.ProbeTimeout:
-			m.unanswered(p)
-		case waited >= m.options.ProbeTimeout && !p.indirect && !p.foreign && p.requester == "":
+			m.handleProbeTimeout(p)
+		case waited >= m.options.ProbeTimeout && !p.indirect && !p.remote && p.requester == "":
 			p.indirect = true
-			m.askOthers(p)
+			m.requestIndirectProbes(p)
 		}
 	}
 }
 
-func (m *Machine) askOthers(p *probe) {
-	for _, line := range m.someFingers(indirectProbes + 1) {
-		if line.id() != p.target {
-			m.send(line, &message.ProbeRequest{Sequence: p.sequence, Target: p.target, Gossip: m.gossipFor(line)})
+func (m *Machine) requestIndirectProbes(p *probe) {
+	for _, entry := range m.someFingers(indirectProbes + 1) {
+		if entry.id() != p.target {
+			m.send(entry, &message.ProbeRequest{Sequence: p.sequence, Target: p.target, Gossip: m.gossipFor(entry)})
 		}
 	}
 }
 
-func (m *Machine) unanswered(p *probe) {
+func (m *Machine) handleProbeTimeout(p *probe) {
 	m.probes.pending = slices.DeleteFunc(m.probes.pending, func(o *probe) bool { return o == p })
-	line, ok := m.roster.members[p.target]
+	entry, ok := m.roster.members[p.target]
 	if !ok || p.requester != "" {
 		return
 	}
-	if line.present() || p.foreign {
+	if entry.present() || p.remote {
 		m.probes.unanswered++
 	}
-	if p.foreign {
-		m.missed(line.domain())
+	if p.remote {
+		m.countUnanswered(entry.domain())
 		return
 	}
-	m.suspect(line)
+	m.suspect(entry)
 }
 
-// missed counts a failure domain's unanswered probe. Three members in a row
-// that are all dead are unlikely; a cut is not. Work for a domain behind a cut
-// would wait for connections that never stand.
-func (m *Machine) missed(domain coltsfootward.FailureDomain) {
-	v := m.view(domain)
-	v.unanswered++
-	if v.unanswered < unreachableProbes || v.unreachable {
+// countUnanswered counts an unanswered probe of a failure domain and marks the domain
+// as unreachable at the limit. Three dead members in a row are unlikely, a network
+// partition is not. Requests sent to a partitioned domain would wait for connections
+// that are never established.
+func (m *Machine) countUnanswered(domain coltsfootward.FailureDomain) {
+	state := m.domainState(domain)
+	state.unanswered++
+	if state.unanswered < unreachableProbes || state.unreachable {
 		return
 	}
-	v.unreachable = true
+	state.unreachable = true
 	m.options.Reachable(domain, false)
 }
 
-// suspect spreads that a member of the own domain does not answer. A node that
-// hears nobody suspects nobody: its own link is the likelier culprit, and at
-// its return it would accuse the whole domain.
-func (m *Machine) suspect(line *member) {
-	if line.news.State != message.MemberAlive || m.isolated() {
+// suspect marks a member of this node's domain as suspected and gossips that. An
+// isolated node suspects no member: its own link is the more likely fault, and once
+// connected again it would spread suspicions of the whole domain.
+func (m *Machine) suspect(entry *member) {
+	if entry.latest.State != message.MemberAlive || m.isolated() {
 		return
 	}
-	news := line.news
-	news.State = message.MemberSuspected
-	m.put(news, true)
-	m.send(line, &message.Gossip{News: []message.News{news}, Digest: m.options.Digest()})
+	update := entry.latest
+	update.State = message.MemberSuspected
+	m.apply(update, true)
+	m.send(entry, &message.Gossip{News: []message.News{update}, Digest: m.options.Digest()})
 }
--- a/core/membership/query.go
+++ b/core/membership/query.go
@@ -9,50 +9,51 @@
 	"coltsfootward/core/message"
 )
 
-// Member is a member as this node knows it.
+// Member is a snapshot of a member's entry in the roster.
 type Member struct {
 	Announcement message.Announcement
 	State        message.MemberState
-	// Heard is when this node last had a message from the member itself, by
-	// Instant.Expiry. It counts only if Known is set.
+	// Heard is when the latest message that this node received from the member itself
+	// was sent, by Instant.Expiry. It is valid only if Known is set.
 	Heard time.Duration
 	Known bool
 }
 
 func (m *member) export() Member {
-	return Member{Announcement: m.news.Announcement, State: m.news.State, Heard: m.heard, Known: m.known}
+	return Member{Announcement: m.latest.Announcement, State: m.latest.State, Heard: m.lastSeen, Known: m.seen}
 }
 
-// Size returns the number of members that run, this node included.
+// Size returns the number of members that are alive or suspected, including this
+// node.
 func (m *Machine) Size() int { return m.roster.present }
 
-// Changes returns a number that grows with each change of the roster.
+// Changes returns a counter that increases with each change of the roster.
 func (m *Machine) Changes() uint64 { return m.roster.changes }
 
-// Member returns what is known of an instance.
+// Member returns the member with the given ID, and whether the roster contains it.
 func (m *Machine) Member(id coltsfootward.InstanceID) (Member, bool) {
-	line, ok := m.roster.members[id]
+	entry, ok := m.roster.members[id]
 	if !ok {
 		return Member{}, false
 	}
-	return line.export(), true
+	return entry.export(), true
 }
 
-// Upstreams returns the backend servers of a service that take work, in the
-// order of their names: not those that drain, that are gone, or whose failure
-// domain cannot be reached from here. Suspected ones are left out as long as
-// there are others. Its cost grows with the service's servers, not with all.
-// The slice is the caller's.
+// Upstreams returns the backend servers of a service that accept work, sorted by
+// instance ID. It excludes servers that are draining, gone, or in a failure domain
+// that is unreachable from this node. Suspected servers are returned only if there
+// are no others. The cost grows with the number of servers of the service, not with
+// the number of members. The caller may modify the slice.
 func (m *Machine) Upstreams(service coltsfootward.ServiceName) []message.Announcement {
 	list := m.roster.services[service]
 	found := make([]message.Announcement, 0, len(list))
 	var suspected []message.Announcement
-	for _, line := range list {
-		a := line.news.Announcement
-		if a.Draining || a.Leaving || m.lost(a.Instance.Domain) {
+	for _, entry := range list {
+		a := entry.latest.Announcement
+		if a.Draining || a.Leaving || m.unreachable(a.Instance.Domain) {
 			continue
 		}
-		if line.news.State == message.MemberSuspected {
+		if entry.latest.State == message.MemberSuspected {
 			suspected = append(suspected, a)
 			continue
 		}
@@ -64,92 +65,94 @@
 	return found
 }
 
-func (m *Machine) lost(domain coltsfootward.FailureDomain) bool {
-	v, ok := m.views[domain]
-	return ok && v.unreachable
+func (m *Machine) unreachable(domain coltsfootward.FailureDomain) bool {
+	state, ok := m.domainStates[domain]
+	return ok && state.unreachable
 }
 
-// Reachable reports whether a failure domain can be reached as far as this
-// node knows.
-func (m *Machine) Reachable(domain coltsfootward.FailureDomain) bool { return !m.lost(domain) }
+// Reachable reports whether this node considers a failure domain reachable. A domain
+// that was never probed is considered reachable.
+func (m *Machine) Reachable(domain coltsfootward.FailureDomain) bool { return !m.unreachable(domain) }
 
-// Roster returns the members of a failure domain that have not said that they
-// leave, this node included if it is one, in an order that is the same at every
-// node. Those that are gone are among them, with that state, for as long as
-// they are remembered: whoever needs a majority of the domain has to count
-// them, because both sides of a cut call each other gone.
+// Roster returns the members of a failure domain that have not announced that they
+// are leaving, in an order that is the same at every node. It includes this node if
+// it belongs to the domain. It also includes gone members, with that state, until
+// they are removed from the roster. A caller that needs a majority of the domain has
+// to count these, because both sides of a network partition declare each other gone.
 func (m *Machine) Roster(domain coltsfootward.FailureDomain) []Member {
 	return slices.DeleteFunc(m.Serving(domain), func(member Member) bool { return member.Announcement.Leaving })
 }
 
-// Serving returns the members of a failure domain that have not said that they
-// have stopped, this node included if it is one, in an order that is the same at
-// every node. Those that are about to leave are among them, since they serve on
-// for seconds, and those that are gone, with that state.
+// Serving returns the members of a failure domain that have not announced that they
+// have stopped, in an order that is the same at every node. It includes this node if
+// it belongs to the domain, members that are about to leave, since they still serve
+// for seconds, and gone members, with that state.
 func (m *Machine) Serving(domain coltsfootward.FailureDomain) []Member {
 	var found []Member
-	for _, line := range m.roster.domains[domain] {
-		if line.news.State != message.MemberLeft {
-			found = append(found, line.export())
+	for _, entry := range m.roster.domains[domain] {
+		if entry.latest.State != message.MemberLeft {
+			found = append(found, entry.export())
 		}
 	}
 	return found
 }
 
-// First returns the first count running members of a failure domain in the
-// order that is the same at every node, and so mostly the same members at each.
-// Those that leave or are suspected are passed over.
+// First returns the first count alive members of a failure domain, in an order that
+// is the same at every node. All nodes thus mostly get the same members. Members that
+// are leaving or suspected are skipped.
 func (m *Machine) First(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
 	var found []coltsfootward.Instance
-	for _, line := range m.roster.domains[domain] {
+	for _, entry := range m.roster.domains[domain] {
 		if len(found) == count {
 			break
 		}
-		if line.news.State == message.MemberAlive && !line.news.Announcement.Leaving {
-			found = append(found, line.news.Announcement.Instance)
+		if entry.latest.State == message.MemberAlive && !entry.latest.Announcement.Leaving {
+			found = append(found, entry.latest.Announcement.Instance)
 		}
 	}
 	return found
 }
 
-// Rank returns this node's place among the first count of its domain, or -1.
+// Rank returns this node's index in the result of First for its own domain and
+// count, or -1 if it is not in there.
 func (m *Machine) Rank(count int) int {
 	return slices.IndexFunc(m.First(m.options.Self.Domain, count), func(i coltsfootward.Instance) bool {
 		return i.ID == m.options.Self.ID
 	})
 }
 
-// Near returns up to count running members of a failure domain other than this
-// node, those that it talks to anyway: random ones of its fingers in the own
-// domain, its partner in another.
+// Near returns up to count present members of a failure domain, without this node,
+// to which it usually has connections already: random fingers in this node's domain,
+// or its counterpart in another domain.
 func (m *Machine) Near(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
 	var lines []*member
 	if domain == m.options.Self.Domain {
 		lines = m.someFingers(count)
-	} else if line := m.partner(domain); line != nil {
-		lines = []*member{line}
+	} else if entry := m.counterpart(domain); entry != nil {
+		lines = []*member{entry}
 	}
 	var found []coltsfootward.Instance
-	for _, line := range lines {
-		found = append(found, line.news.Announcement.Instance)
+	for _, entry := range lines {
+		found = append(found, entry.latest.Announcement.Instance)
 	}
 	return found
 }
 
-// Domains returns every failure domain that has members, sorted.
+// Domains returns all failure domains that have members in the roster, sorted.
 func (m *Machine) Domains() []coltsfootward.FailureDomain {
 	return slices.Sorted(maps.Keys(m.roster.domains))
 }
 
-// HeardWithin reports whether a member of the domain was heard in the last d
-// before now, by the clock that is never behind real time.
+// HeardWithin reports whether a member of the domain sent a message that arrived here
+// and is not older than d. Ages are measured by Instant.Expiry, which is never behind
+// real time.
 func (m *Machine) HeardWithin(now coltsfootward.Instant, domain coltsfootward.FailureDomain, d time.Duration) bool {
-	v, ok := m.views[domain]
-	return ok && v.known && now.Expiry-v.heard <= d
+	state, ok := m.domainStates[domain]
+	return ok && state.seen && now.Expiry-state.lastSeen <= d
 }
 
-// All returns every member that is remembered, sorted by name. It is meant for
-// operators; its cost grows with the number of members.
+// All returns all members of the roster, gone members included, sorted by instance
+// ID. It is meant for operators; its cost grows with the number of members.
 func (m *Machine) All() []Member {
 	var found []Member
 	for _, id := range slices.Sorted(maps.Keys(m.roster.members)) {
--- a/core/membership/queue.go
+++ b/core/membership/queue.go
@@ -8,57 +8,58 @@
 	"coltsfootward/core/message"
 )
 
-// queue holds news that is still to be passed on.
+// queue contains the updates that are still to be gossiped, at most one per member.
 type queue struct {
-	items []*queued
-	index map[coltsfootward.InstanceID]*queued
+	items []*queuedUpdate
+	index map[coltsfootward.InstanceID]*queuedUpdate
 	order uint64
 }
 
-type queued struct {
-	news message.News
-	sent int
-	// order breaks ties in favour of the younger news.
+type queuedUpdate struct {
+	update message.News
+	sent   int
+	// order is the sequence number of the update in the queue. Among updates that were
+	// sent equally often, newer ones go first.
 	order uint64
 }
 
 func newQueue() *queue {
-	return &queue{index: make(map[coltsfootward.InstanceID]*queued)}
+	return &queue{index: make(map[coltsfootward.InstanceID]*queuedUpdate)}
 }
 
-// add puts news in place of any earlier news of the same member.
-func (q *queue) add(news message.News) {
+// add queues an update and replaces any queued update of the same member.
+func (q *queue) add(update message.News) {
 	q.order++
-	id := news.Announcement.Instance.ID
+	id := update.Announcement.Instance.ID
 	if item, ok := q.index[id]; ok {
-		item.news, item.sent, item.order = news, 0, q.order
+		item.update, item.sent, item.order = update, 0, q.order
 		return
 	}
-	item := &queued{news: news, order: q.order}
+	item := &queuedUpdate{update: update, order: q.order}
 	q.index[id] = item
 	q.items = append(q.items, item)
 }
 
-// take returns the news that was passed on least and counts it as passed on
-// once more; news that has reached limit is dropped.
-func (q *queue) take(limit int) []message.News {
+// next returns the updates that were sent least often, at most maximumUpdates, and
+// counts them as sent once more. Updates that were sent limit times are dropped.
+func (q *queue) next(limit int) []message.News {
 	if len(q.items) == 0 {
 		return nil
 	}
-	slices.SortFunc(q.items, func(a, b *queued) int {
+	slices.SortFunc(q.items, func(a, b *queuedUpdate) int {
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.order, a.order))
 	})
-	var taken []message.News
-	for _, item := range q.items[:min(len(q.items), maximumNews)] {
-		taken = append(taken, item.news)
+	var updates []message.News
+	for _, item := range q.items[:min(len(q.items), maximumUpdates)] {
+		updates = append(updates, item.update)
 		item.sent++
 	}
-	q.items = slices.DeleteFunc(q.items, func(item *queued) bool {
+	q.items = slices.DeleteFunc(q.items, func(item *queuedUpdate) bool {
 		if item.sent < limit {
 			return false
 		}
-		delete(q.index, item.news.Announcement.Instance.ID)
+		delete(q.index, item.update.Announcement.Instance.ID)
 		return true
 	})
-	return taken
+	return updates
 }
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -12,32 +12,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// member is one line of the roster.
+// member is one entry of the roster.
 type member struct {
-	news message.News
-	// hash orders the members of a domain the same way at every node.
+	latest message.News
+	// hash orders the members of a domain in the same way at every node.
 	hash uint64
-	// digest stands for the news in comparisons of rosters.
+	// digest represents the entry in comparisons of rosters.
 	digest uint64
-	// since is when the state was taken in, by Instant.Monotonic.
-	since time.Duration
-	// heard is when the member itself was last heard, by Instant.Expiry; known
-	// says whether it ever was.
-	heard time.Duration
-	known bool
+	// stateSince is when the latest update was applied, by Instant.Monotonic.
+	stateSince time.Duration
+	// lastSeen is when the latest message of the member itself was sent, by
+	// Instant.Expiry. It is valid only if seen is set.
+	lastSeen time.Duration
+	seen     bool
 }
 
-func (m *member) id() coltsfootward.InstanceID { return m.news.Announcement.Instance.ID }
+func (m *member) id() coltsfootward.InstanceID { return m.latest.Announcement.Instance.ID }
 
-func (m *member) domain() coltsfootward.FailureDomain { return m.news.Announcement.Instance.Domain }
+func (m *member) domain() coltsfootward.FailureDomain { return m.latest.Announcement.Instance.Domain }
 
-// present reports whether the member counts as running.
+// present reports whether the member is considered running, that is, alive or
+// suspected.
 func (m *member) present() bool {
-	return m.news.State == message.MemberAlive || m.news.State == message.MemberSuspected
+	return m.latest.State == message.MemberAlive || m.latest.State == message.MemberSuspected
 }
 
-// roster indexes members by name, domain, service and bucket, so that no look-up
-// walks over all of them.
+// roster indexes members by ID, domain, service and bucket, so that no look-up
+// iterates over all members.
 type roster struct {
 	members  map[coltsfootward.InstanceID]*member
 	domains  map[coltsfootward.FailureDomain][]*member
@@ -46,7 +47,7 @@
 	hashes   [bucketCount]uint64
 	total    uint64
 	present  int
-	// changes counts what was put or removed.
+	// changes counts calls of put and remove.
 	changes uint64
 }
 
@@ -66,9 +67,9 @@
 
 func bucketOf(hash uint64) int { return int(hash % bucketCount) }
 
-// put sets the news of a member and returns its line.
-func (r *roster) put(news message.News) *member {
-	id := news.Announcement.Instance.ID
+// put sets the latest update of a member and returns its entry.
+func (r *roster) put(update message.News) *member {
+	id := update.Announcement.Instance.ID
 	m, ok := r.members[id]
 	if ok {
 		r.unindex(m)
@@ -77,7 +78,7 @@
 		r.members[id] = m
 	}
 	r.changes++
-	m.news = news
+	m.latest = update
 	m.digest = digestOf(m)
 	r.index(m)
 	return m
@@ -98,7 +99,7 @@
 		return
 	}
 	r.present++
-	if service := m.news.Announcement.Service; service != "" {
+	if service := m.latest.Announcement.Service; service != "" {
 		r.services[service] = insert(r.services[service], m, byID)
 	}
 }
@@ -112,23 +113,25 @@
 		return
 	}
 	r.present--
-	service := m.news.Announcement.Service
+	service := m.latest.Announcement.Service
 	setOrDelete(r.services, service, removeMember(r.services[service], m, byID))
 }
 
-// hash adds a member's digest to the hashes, or takes it out again.
+// hash adds a member's digest to the hashes of its bucket and of the roster, or
+// removes it again.
 func (r *roster) hash(m *member) {
 	r.hashes[bucketOf(m.hash)] ^= m.digest
 	r.total ^= m.digest
 }
 
-// digestOf leaves out what nodes may forget at different times, and whether a
-// member is only suspected, which passes by itself.
+// digestOf returns the digest of an entry. It is zero for members that are not
+// present, which nodes remove at different times, and does not distinguish alive
+// from suspected members, since a suspicion is resolved without a comparison.
 func digestOf(m *member) uint64 {
 	if !m.present() {
 		return 0
 	}
-	a := m.news.Announcement
+	a := m.latest.Announcement
 	text := string(a.Instance.ID) + "/" + strconv.FormatUint(uint64(a.Instance.Incarnation), 16) + "/" + strconv.FormatUint(a.Version, 16)
 	return xxhash.Sum64String(text)
 }
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -8,137 +8,139 @@
 	"coltsfootward/core/message"
 )
 
-// pageInterval is the time between two pages that a node asks for: a whole
-// roster of 24,000 comes in within a minute without holding up the member that
-// sends it.
+// pageInterval is the time between two pages that a node requests. A full roster of
+// 24,000 members is thus transferred within a minute without delaying other work of
+// the member that sends it.
 const pageInterval = 200 * time.Millisecond
 
-// sync compares rosters with a random member, of the own domain or of another
-// in turn, or goes on with the one that it has not finished with.
+// sync continues an unfinished comparison of rosters, or starts one with a random
+// member, of this node's domain or of a remote domain with equal probability.
 func (m *Machine) sync() {
-	if line, ok := m.roster.members[m.syncPeer]; ok {
+	if entry, ok := m.roster.members[m.syncPeer]; ok {
 		m.syncPeer = ""
-		m.syncWith(line)
+		m.syncWith(entry)
 		return
 	}
 	domain := m.options.Self.Domain
-	if len(m.foreign) > 0 && m.source.IntN(2) == 0 {
-		domain = m.foreign[m.source.IntN(len(m.foreign))]
+	if len(m.remoteDomains) > 0 && m.source.IntN(2) == 0 {
+		domain = m.remoteDomains[m.source.IntN(len(m.remoteDomains))]
 	}
-	if line := m.randomMember(domain); line != nil {
-		m.syncWith(line)
+	if entry := m.randomPresent(domain); entry != nil {
+		m.syncWith(entry)
 	}
 }
 
-func (m *Machine) syncWith(line *member) {
-	m.send(line, m.rosterDigest())
+func (m *Machine) syncWith(entry *member) {
+	m.send(entry, m.rosterDigest())
 }
 
 func (m *Machine) rosterDigest() *message.RosterDigest {
 	return &message.RosterDigest{Self: m.self, Total: m.roster.total}
 }
 
-// Contact compares rosters with instances that settings or the platform's table
-// name. They become members only once they answer: such lists are often old.
+// Contact starts a comparison of rosters with instances from the settings or the
+// platform's table. They become members only once they answer, since such lists are
+// often stale.
 func (m *Machine) Contact(now coltsfootward.Instant, instances ...coltsfootward.Instance) {
 	m.now = now
 	for _, instance := range instances {
 		if instance.ID == m.options.Self.ID {
 			continue
 		}
-		if line, ok := m.roster.members[instance.ID]; ok && line.present() && line.known {
+		if entry, ok := m.roster.members[instance.ID]; ok && entry.present() && entry.seen {
 			continue
 		}
 		m.options.Send(instance, m.rosterDigest())
 	}
 }
 
-func (m *Machine) compare(from coltsfootward.InstanceID, r *message.RosterDigest) {
-	m.take(r.Self, true)
-	line, ok := m.roster.members[from]
+func (m *Machine) handleRosterDigest(from coltsfootward.InstanceID, r *message.RosterDigest) {
+	m.merge(r.Self, true)
+	entry, ok := m.roster.members[from]
 	if !ok || r.Total == m.roster.total {
 		return
 	}
 	hashes := slices.Clone(m.roster.hashes[:])
-	m.send(line, &message.RosterBuckets{Self: m.self, Hashes: hashes, Members: len(m.roster.members)})
+	m.send(entry, &message.RosterBuckets{Self: m.self, Hashes: hashes, Members: len(m.roster.members)})
 }
 
-// compareBuckets sends a page of the buckets that differ and asks for the
-// other's. It starts at a random one, so that two nodes that cannot finish at
-// once do not always begin with the same.
-func (m *Machine) compareBuckets(from coltsfootward.InstanceID, r *message.RosterBuckets) {
-	m.take(r.Self, true)
-	line, ok := m.roster.members[from]
+// handleRosterBuckets sends one page of the buckets that differ and requests the
+// sender's entries of these. It starts at a random bucket, so that two nodes that
+// need several pages do not always start with the same buckets.
+func (m *Machine) handleRosterBuckets(from coltsfootward.InstanceID, r *message.RosterBuckets) {
+	m.merge(r.Self, true)
+	entry, ok := m.roster.members[from]
 	if !ok || len(r.Hashes) != bucketCount {
 		return
 	}
 	page := &message.RosterPage{Answer: true}
-	m.syncMore = false
-	most := bucketsFor(max(r.Members, len(m.roster.members)))
+	m.syncIncomplete = false
+	maximumBuckets := bucketsPerPage(max(r.Members, len(m.roster.members)))
 	start := m.source.IntN(bucketCount)
 	for i := range bucketCount {
 		b := (start + i) % bucketCount
 		if r.Hashes[b] == m.roster.hashes[b] {
 			continue
 		}
-		if len(page.News) >= pageNews || len(page.Buckets) >= most {
-			m.syncMore = true
+		if len(page.News) >= maximumPageEntries || len(page.Buckets) >= maximumBuckets {
+			m.syncIncomplete = true
 			break
 		}
 		page.Buckets = append(page.Buckets, b)
 		page.News = m.appendBucket(page.News, b)
 	}
-	m.send(line, page)
+	m.send(entry, page)
 }
 
-// bucketsFor returns how many buckets of a roster of that many members fill about one
-// page. In a fleet of hundreds all of them do: eight at a time, as in a fleet of
-// thousands, a node that has just started would know few of the others for seconds.
-func bucketsFor(members int) int {
-	return max(min(pageNews*bucketCount/max(members, 1), bucketCount), leastBuckets)
+// bucketsPerPage returns the number of buckets that fill about one page, in a roster
+// with the given number of members. In a deployment of hundreds of nodes one page
+// holds all buckets. With eight buckets a page, as for thousands of nodes, a node
+// that has just started would have an incomplete roster for seconds.
+func bucketsPerPage(members int) int {
+	return max(min(maximumPageEntries*bucketCount/max(members, 1), bucketCount), minimumPageBuckets)
 }
 
-// leastBuckets is how many buckets a page brings at least, however full they are.
-const leastBuckets = 8
+// minimumPageBuckets is the least number of buckets in a page, however full they are.
+const minimumPageBuckets = 8
 
-func (m *Machine) appendBucket(news []message.News, b int) []message.News {
-	for _, line := range m.roster.buckets[b] {
-		news = append(news, line.news)
+func (m *Machine) appendBucket(updates []message.News, b int) []message.News {
+	for _, entry := range m.roster.buckets[b] {
+		updates = append(updates, entry.latest)
 	}
-	return news
+	return updates
 }
 
-func (m *Machine) page(from coltsfootward.InstanceID, r *message.RosterPage) {
+func (m *Machine) handleRosterPage(from coltsfootward.InstanceID, r *message.RosterPage) {
 	newer := 0
 	for _, n := range r.News {
-		line, ok := m.roster.members[n.Announcement.Instance.ID]
-		if !ok || n.Newer(line.news) {
+		entry, ok := m.roster.members[n.Announcement.Instance.ID]
+		if !ok || n.Newer(entry.latest) {
 			newer++
 		}
 	}
 	for _, n := range r.News {
-		m.take(n, newer <= hotPage)
+		m.merge(n, newer <= gossipPageLimit)
 	}
-	line, ok := m.roster.members[from]
+	entry, ok := m.roster.members[from]
 	if !ok {
 		return
 	}
 	if r.Answer {
-		m.answerPage(line, r.Buckets)
+		m.replyWithPage(entry, r.Buckets)
 		return
 	}
-	if m.syncMore {
+	if m.syncIncomplete {
 		m.syncPeer = from
 		m.nextSync = m.now.Monotonic + pageInterval
 	}
 }
 
-func (m *Machine) answerPage(line *member, buckets []int) {
+func (m *Machine) replyWithPage(entry *member, buckets []int) {
 	page := &message.RosterPage{Buckets: buckets}
-	for _, b := range buckets[:min(len(buckets), bucketsFor(len(m.roster.members)))] {
+	for _, b := range buckets[:min(len(buckets), bucketsPerPage(len(m.roster.members)))] {
 		if b >= 0 && b < bucketCount {
 			page.News = m.appendBucket(page.News, b)
 		}
 	}
-	m.send(line, page)
+	m.send(entry, page)
 }
