--- a/core/message/claim.go
+++ b/core/message/claim.go
@@ -5,7 +5,7 @@
 	"coltsfootward/core/claim"
 )
 
-// ClaimRequest asks the holder of a key's lease for a claim.
+// ClaimRequest requests a claim from the holder of the lease for a key's slot.
 type ClaimRequest struct {
 	Request claim.Request `msgpack:"request"`
 }
@@ -13,48 +13,49 @@
 // MessageKind implements Message.
 func (*ClaimRequest) MessageKind() Kind { return KindClaimRequest }
 
-// ClaimVerdict answers a ClaimRequest.
+// ClaimVerdict is the reply to a ClaimRequest.
 type ClaimVerdict struct {
 	ID      claim.ID      `msgpack:"id"`
 	Verdict claim.Verdict `msgpack:"verdict"`
-	// Holder is whom to ask instead if the decision is claim.Elsewhere; empty
-	// if it is not known.
+	// Holder is the instance to ask instead if the decision is claim.Elsewhere. It is
+	// empty if the holder is not known.
 	Holder coltsfootward.Instance `msgpack:"holder"`
 }
 
 // MessageKind implements Message.
 func (*ClaimVerdict) MessageKind() Kind { return KindClaimVerdict }
 
-// ClaimHandover brings the claims of a holder that gives its lease up to those
-// who may take it over, in pages.
+// ClaimHandover is one page of the claims of a slot, sent by a holder that releases
+// its lease to the instances that may acquire it next.
 type ClaimHandover struct {
 	Domain coltsfootward.FailureDomain `msgpack:"domain"`
 	Slot   int                         `msgpack:"slot"`
-	// Epoch is that of the term that ends.
+	// Epoch is the epoch of the lease term that ends.
 	Epoch uint64 `msgpack:"epoch"`
 	Page  int    `msgpack:"page"`
 	Pages int    `msgpack:"pages"`
-	// Handover holds the page's claims.
+	// Handover contains the claims of this page.
 	Handover claim.Handover `msgpack:"handover"`
 }
 
 // MessageKind implements Message.
 func (*ClaimHandover) MessageKind() Kind { return KindClaimHandover }
 
-// ClaimEnd tells the holder how a claim's request ended. It is sent again until
+// ClaimEnd reports to the holder how the request of a claim ended. It is resent until
 // it is acknowledged.
 type ClaimEnd struct {
 	Key       claim.Key               `msgpack:"key"`
 	ID        claim.ID                `msgpack:"id"`
 	Execution coltsfootward.Execution `msgpack:"execution"`
-	// Answer is kept for repeats; nil if there is none or it is too large.
+	// Answer is the response to replay to repeated requests. It is nil if there was no
+	// response or it is too large to retain.
 	Answer *claim.Answer `msgpack:"answer"`
 }
 
 // MessageKind implements Message.
 func (*ClaimEnd) MessageKind() Kind { return KindClaimEnd }
 
-// ClaimEndTaken acknowledges a ClaimEnd.
+// ClaimEndTaken acknowledges the receipt of a ClaimEnd.
 type ClaimEndTaken struct {
 	ID claim.ID `msgpack:"id"`
 }
--- a/core/message/codec.go
+++ b/core/message/codec.go
@@ -9,10 +9,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// What travels with every call has a codec of its own: fields in their order, without
-// names, and without the cost of reflection.
+// The types that are sent with every call have hand-written codecs. They encode a
+// struct as an array of its fields, without field names and without the cost of
+// reflection.
 
-// The numbers of fields of each type on the wire.
+// The number of array elements of each type on the wire.
 const (
 	callFields     = 21
 	loadFields     = 8
@@ -24,26 +25,26 @@
 	instanceFields = 5
 )
 
-// writer writes fields and keeps the first error.
+// writer encodes fields and retains the first error.
 type writer struct {
 	encoder *msgpack.Encoder
 	err     error
 }
 
-func (w *writer) note(err error) {
+func (w *writer) setError(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-func (w *writer) fields(n int)             { w.note(w.encoder.EncodeArrayLen(n)) }
-func (w *writer) text(value string)        { w.note(w.encoder.EncodeString(value)) }
-func (w *writer) number(value int64)       { w.note(w.encoder.EncodeInt(value)) }
-func (w *writer) flag(value bool)          { w.note(w.encoder.EncodeBool(value)) }
-func (w *writer) fraction(value float64)   { w.note(w.encoder.EncodeFloat64(value)) }
+func (w *writer) fields(n int)             { w.setError(w.encoder.EncodeArrayLen(n)) }
+func (w *writer) text(value string)        { w.setError(w.encoder.EncodeString(value)) }
+func (w *writer) number(value int64)       { w.setError(w.encoder.EncodeInt(value)) }
+func (w *writer) flag(value bool)          { w.setError(w.encoder.EncodeBool(value)) }
+func (w *writer) fraction(value float64)   { w.setError(w.encoder.EncodeFloat64(value)) }
 func (w *writer) duration(d time.Duration) { w.number(int64(d)) }
 func (w *writer) header(h map[string][]string) {
-	w.note(w.encoder.EncodeMapLen(len(h)))
+	w.setError(w.encoder.EncodeMapLen(len(h)))
 	for name, values := range h {
 		w.text(name)
 		w.fields(len(values))
@@ -53,7 +54,8 @@
 	}
 }
 
-// reader reads fields and keeps the first error; after one it reads zero values.
+// reader decodes fields and retains the first error. After an error it returns zero
+// values.
 type reader struct {
 	decoder *msgpack.Decoder
 	err     error
@@ -73,32 +75,35 @@
 func (r *reader) fraction() float64       { return read(r, r.decoder.DecodeFloat64) }
 func (r *reader) duration() time.Duration { return time.Duration(r.number()) }
 
-// fields reads how many fields follow, which both sides must agree on.
+// fields reads the number of fields that follow and sets an error if it differs from
+// want.
 func (r *reader) fields(want int) {
 	if got := r.length(); r.err == nil && got != want {
-		r.err = fmt.Errorf("message: %d fields, want %d: check that both nodes run the same version", got, want)
+		r.err = fmt.Errorf("message: got %d fields, want %d: check that both nodes run the same version", got, want)
 	}
 }
 
-// length reads how many values follow.
+// length reads the number of elements that follow.
 func (r *reader) length() int { return max(read(r, r.decoder.DecodeArrayLen), 0) }
 
-// maximumGuess bounds how many values are made room for before any has been read.
-const maximumGuess = 64
+// maximumPreallocation bounds the number of values for which memory is allocated in advance
+// on the strength of a length that a peer sent.
+const maximumPreallocation = 64
 
 func (r *reader) header() map[string][]string {
 	size := max(read(r, r.decoder.DecodeMapLen), 0)
 	if size == 0 {
 		return nil
 	}
-	h := make(map[string][]string, min(size, maximumGuess))
-	// Most fields have one value, so that one array serves them all.
-	all := make([]string, 0, min(size, maximumGuess))
+	h := make(map[string][]string, min(size, maximumPreallocation))
+	// Most header fields have one value, so one slice is allocated for the values of
+	// shared fields.
+	shared := make([]string, 0, min(size, maximumPreallocation))
 	for range size {
 		name, count := r.text(), r.length()
-		first := len(all)
+		first := len(shared)
 		for range count {
-			all = append(all, r.text())
+			shared = append(shared, r.text())
 			if r.err != nil {
 				return nil
 			}
@@ -106,7 +111,7 @@
 		if r.err != nil {
 			return nil
 		}
-		h[name] = all[first:len(all):len(all)]
+		h[name] = shared[first:len(shared):len(shared)]
 	}
 	return h
 }
@@ -236,9 +241,9 @@
 	w.header(a.Header)
 	w.flag(a.Refusal != nil)
 	if a.Refusal != nil {
-		w.note(encoder.Encode(a.Refusal))
+		w.setError(encoder.Encode(a.Refusal))
 	}
-	w.note(a.Load.EncodeMsgpack(encoder))
+	w.setError(a.Load.EncodeMsgpack(encoder))
 	return w.err
 }
 
--- a/core/message/codec_test.go
+++ b/core/message/codec_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// fill sets every field of a struct to a value of its own, so that a field which the
-// codec leaves out or mixes up shows.
+// fill sets every field of a struct to a random value, so that a comparison after a
+// round trip finds fields that the codec omits or swaps.
 func fill(t *rapid.T, v reflect.Value) {
 	for i := range v.NumField() {
 		field := v.Field(i)
@@ -40,12 +40,12 @@
 		case message.Load, coltsfootward.Instance:
 			fill(t, field)
 		default:
-			fillPlain(t, field, name)
+			fillScalar(t, field, name)
 		}
 	}
 }
 
-func fillPlain(t *rapid.T, field reflect.Value, name string) {
+func fillScalar(t *rapid.T, field reflect.Value, name string) {
 	switch field.Kind() {
 	case reflect.String:
 		field.SetString(rapid.StringN(1, 20, -1).Draw(t, name))
@@ -60,11 +60,12 @@
 	case reflect.Int, reflect.Int64:
 		field.SetInt(rapid.Int64().Draw(t, name))
 	default:
-		t.Fatalf("field %s has kind %s, which the test does not know", name, field.Kind())
+		t.Fatalf("field %s has kind %s, which this test does not support", name, field.Kind())
 	}
 }
 
-// Guards against a field that is added to a type and forgotten in its codec.
+// Guards against a field that is added to a type but not to its codec: the field would
+// be lost on the wire.
 func TestCodecsCarryEveryField(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for _, pair := range [][2]any{
@@ -87,16 +88,16 @@
 	})
 }
 
-// Guards against a node that is stopped, or made to take much memory, by what a broken
-// peer sends.
-func TestCodecsRefuseBrokenBytes(t *testing.T) {
-	whole, err := msgpack.Marshal(&message.Call{Request: "r", Header: map[string][]string{"A": {"b"}}, Timeout: time.Second})
+// Guards against malformed bytes from a peer that make a node panic or allocate much
+// memory. Truncated messages must return an error; random bytes must not panic.
+func TestDecodersRejectMalformedBytes(t *testing.T) {
+	encoded, err := msgpack.Marshal(&message.Call{Request: "r", Header: map[string][]string{"A": {"b"}}, Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for length := range whole {
-		if err := msgpack.Unmarshal(whole[:length], &message.Call{}); err == nil {
-			t.Errorf("%d of %d bytes are taken for a whole call", length, len(whole))
+	for length := range encoded {
+		if err := msgpack.Unmarshal(encoded[:length], &message.Call{}); err == nil {
+			t.Errorf("got no error for %d of %d bytes of a call, want one", length, len(encoded))
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/message/configuration.go
+++ b/core/message/configuration.go
@@ -6,30 +6,29 @@
 	"coltsfootward"
 )
 
-// ConfigurationDigest says how far the sender's configuration is. It travels
-// with all gossip, so that whoever missed a change learns of it within one or
-// two probes.
+// ConfigurationDigest summarises the sender's configuration. It is sent with all
+// gossip, so that a node that missed a change detects that within one or two probes.
 type ConfigurationDigest struct {
 	Revision coltsfootward.Revision `msgpack:"revision"`
-	// Withdrawn are keys that were withdrawn and whose change the sender has
-	// not in force yet. The set only grows; it is bounded.
+	// Withdrawn contains the digests of withdrawn keys whose change the sender has not
+	// applied yet. The set only grows; its size is bounded.
 	Withdrawn []coltsfootward.KeyDigest `msgpack:"withdrawn,omitempty"`
-	// OutOfService names the failure domains that get no work. It is small enough
-	// to travel whole.
+	// OutOfService lists the failure domains that operators have taken out of service.
+	// It is small enough to be sent in full.
 	OutOfService coltsfootward.OutOfService `msgpack:"out_of_service"`
-	// TableAge is how old the sender's youngest evidence is that somebody it
-	// hears reads the platform's table.
+	// TableAge is the age of the latest read of the platform's table that the sender
+	// knows of, by itself or, through gossip, by any other node.
 	TableAge time.Duration `msgpack:"table_age"`
 }
 
 // MessageKind implements Message.
 func (*ConfigurationDigest) MessageKind() Kind { return KindConfigurationDigest }
 
-// ConfigurationPull asks a peer for the changes after a revision.
+// ConfigurationPull requests the changes after a revision from a peer.
 type ConfigurationPull struct {
 	After coltsfootward.Revision `msgpack:"after"`
-	// Snapshot and Page ask for a page of the snapshot at that revision; zero
-	// means that the asker wants changes.
+	// Snapshot and Page request a page of the snapshot at that revision. A zero
+	// Snapshot requests changes instead.
 	Snapshot coltsfootward.Revision `msgpack:"snapshot,omitempty"`
 	Page     int                    `msgpack:"page,omitempty"`
 }
@@ -37,7 +36,8 @@
 // MessageKind implements Message.
 func (*ConfigurationPull) MessageKind() Kind { return KindConfigurationPull }
 
-// ConfigurationChanges brings consecutive changes, asked for or not.
+// ConfigurationChanges contains consecutive changes, either requested by a
+// ConfigurationPull or pushed.
 type ConfigurationChanges struct {
 	Changes []coltsfootward.Change `msgpack:"changes"`
 }
@@ -45,8 +45,8 @@
 // MessageKind implements Message.
 func (*ConfigurationChanges) MessageKind() Kind { return KindConfigurationChanges }
 
-// ConfigurationPage is one page of a whole configuration, for a node that is
-// further behind than its peer's history reaches.
+// ConfigurationPage is one page of a full configuration, for a node that is further
+// behind than the history of its peer reaches.
 type ConfigurationPage struct {
 	Revision      coltsfootward.Revision       `msgpack:"revision"`
 	Page          int                          `msgpack:"page"`
@@ -59,47 +59,49 @@
 // MessageKind implements Message.
 func (*ConfigurationPage) MessageKind() Kind { return KindConfigurationPage }
 
-// Confirmation tells a domain's collector who has a revision in force.
+// Confirmation reports to the collector of a failure domain which members have applied
+// a revision.
 type Confirmation struct {
 	Revision coltsfootward.Revision `msgpack:"revision"`
-	// Members are those that told the sender; empty means the sender itself.
-	// A confirmation for others is never passed on again.
+	// Members lists the members whose confirmations the sender forwards; empty means
+	// the sender itself. A forwarded confirmation is never forwarded again.
 	Members []coltsfootward.InstanceID `msgpack:"members,omitempty"`
 }
 
 // MessageKind implements Message.
 func (*Confirmation) MessageKind() Kind { return KindConfirmation }
 
-// ConfirmationQuery asks a domain's collector how far its domain is. Without
-// a domain it asks a member for its own Confirmation.
+// ConfirmationQuery requests a DomainConfirmation from the collector of a failure
+// domain or, without a domain, a member's own Confirmation.
 type ConfirmationQuery struct {
 	Revision coltsfootward.Revision `msgpack:"revision"`
-	// Domain is set to ask for the whole domain, and empty to ask for the
-	// receiver alone.
+	// Domain is the failure domain to report on; empty requests the receiver's own
+	// confirmation only.
 	Domain coltsfootward.FailureDomain `msgpack:"domain,omitempty"`
 }
 
 // MessageKind implements Message.
 func (*ConfirmationQuery) MessageKind() Kind { return KindConfirmationQuery }
 
-// DomainConfirmation answers a ConfirmationQuery.
+// DomainConfirmation is the reply to a ConfirmationQuery for a domain.
 type DomainConfirmation struct {
 	Domain coltsfootward.FailureDomain `msgpack:"domain"`
 	// Asked is the revision of the query.
 	Asked coltsfootward.Revision `msgpack:"asked"`
-	// Revision is the lowest that a member of the domain has confirmed.
+	// Revision is the lowest revision that a member of the domain has confirmed.
 	Revision coltsfootward.Revision `msgpack:"revision"`
-	// Members is how many members the answer speaks for.
+	// Members is the number of members that the reply covers.
 	Members int `msgpack:"members"`
-	// Behind names members below the asked revision; it is bounded.
+	// Behind lists members that have not confirmed the queried revision. Its length is
+	// bounded, so it may be incomplete.
 	Behind []coltsfootward.InstanceID `msgpack:"behind,omitempty"`
 }
 
 // MessageKind implements Message.
 func (*DomainConfirmation) MessageKind() Kind { return KindDomainConfirmation }
 
-// ConfigurationWhole is a whole configuration in one message, for deployments
-// whose configuration is stored and changed as one document.
+// ConfigurationWhole is a full configuration in one message, for deployments whose
+// configuration is stored and changed as one document.
 type ConfigurationWhole struct {
 	Revision      coltsfootward.Revision       `msgpack:"revision"`
 	Organisations []coltsfootward.Organisation `msgpack:"organisations"`
@@ -107,8 +109,8 @@
 	Services      []coltsfootward.Service      `msgpack:"services"`
 	Routes        []coltsfootward.Route        `msgpack:"routes"`
 	Limits        coltsfootward.Limits         `msgpack:"limits"`
-	// OutOfService travels along, so that a node that has just started knows it
-	// before it serves.
+	// OutOfService is included so that a node that has just started has it before it
+	// serves requests.
 	OutOfService coltsfootward.OutOfService `msgpack:"out_of_service"`
 }
 
--- a/core/message/membership.go
+++ b/core/message/membership.go
@@ -6,8 +6,9 @@
 	"coltsfootward"
 )
 
-// Announcement says what a backend server offers and where its node runs. The
-// higher Incarnation, then the higher Version, is the newer one.
+// Announcement describes a node's address and the backend server beside it. The
+// announcement with the higher Incarnation is newer; with equal incarnations, the one
+// with the higher Version.
 type Announcement struct {
 	//lint:ignore U1000 msgpack reads the tag of this field
 	_msgpack struct{}               `msgpack:",as_array"`
@@ -15,38 +16,39 @@
 	// Version orders the announcements of one incarnation.
 	Version uint64                    `msgpack:"version"`
 	Service coltsfootward.ServiceName `msgpack:"service"`
-	// Slots is the number of requests that the backend server serves at once.
+	// Slots is the number of requests that the backend server serves concurrently.
 	Slots int `msgpack:"slots"`
-	// Draining is set when the backend server takes no new work.
+	// Draining is set when the backend server accepts no new work.
 	Draining bool `msgpack:"draining"`
 	// Leaving is set when the node itself is about to stop.
 	Leaving bool `msgpack:"leaving"`
-	// Cold is how much longer the backend server is slow after its start, as of
-	// this version.
+	// Cold is the remaining time for which the backend server is slow after its start,
+	// as of this version.
 	Cold time.Duration `msgpack:"cold"`
 }
 
-// MessageKind implements Message. An announcement that travels alone is news
-// of a living member.
+// MessageKind implements Message. An announcement sent on its own is an update with
+// the state MemberAlive.
 func (*Announcement) MessageKind() Kind { return KindAnnouncement }
 
-// MemberState says what is known of a member.
+// MemberState is the liveness state of a member.
 type MemberState string
 
-// The states of a member. At one incarnation and version a later one in this
+// The states of a member. With equal incarnation and version, a later state in this
 // list overrides an earlier one.
 const (
-	// MemberAlive means that the member said so itself.
+	// MemberAlive means that the member announced itself.
 	MemberAlive MemberState = "alive"
-	// MemberSuspected means that probes of the member went unanswered.
+	// MemberSuspected means that probes of the member were not answered.
 	MemberSuspected MemberState = "suspected"
 	// MemberGone means that the member did not refute a suspicion in time.
 	MemberGone MemberState = "gone"
-	// MemberLeft means that the member said that it stops.
+	// MemberLeft means that the member announced that it stops.
 	MemberLeft MemberState = "left"
 )
 
-// Rank orders the states that news of one incarnation and version may have.
+// Rank returns the precedence of the state among updates with equal incarnation and
+// version. The higher rank prevails.
 func (s MemberState) Rank() int {
 	switch s {
 	case MemberSuspected:
@@ -60,7 +62,8 @@
 	}
 }
 
-// News is what one member says of another or of itself.
+// News is a membership update: the announcement and the state of one member, reported
+// by the member itself or by another.
 type News struct {
 	//lint:ignore U1000 msgpack reads the tag of this field
 	_msgpack     struct{}     `msgpack:",as_array"`
@@ -68,8 +71,8 @@
 	State        MemberState  `msgpack:"state"`
 }
 
-// Newer reports whether n overrides old. News of an earlier incarnation or
-// version never does, however late it arrives.
+// Newer reports whether n overrides old. An update with a lower incarnation or version
+// never does, in whatever order updates arrive.
 func (n News) Newer(old News) bool {
 	a, b := n.Announcement, old.Announcement
 	if a.Instance.Incarnation != b.Instance.Incarnation {
@@ -81,22 +84,24 @@
 	return n.State.Rank() > old.State.Rank()
 }
 
-// Gossip travels with every probe and its answer, and alone while there is
-// news to spread.
+// Gossip carries membership updates and the configuration digest. It is part of every
+// probe, probe request and probe answer, and is also sent on its own while updates
+// are queued.
 type Gossip struct {
-	// News is bounded, so that a message stays small in any churn.
+	// News contains membership updates. Their number is bounded, so that a message
+	// stays small under any churn.
 	News []News `msgpack:"news"`
-	// Digest says how far the sender's configuration is.
+	// Digest summarises the sender's configuration.
 	Digest ConfigurationDigest `msgpack:"digest"`
 }
 
 // MessageKind implements Message.
 func (*Gossip) MessageKind() Kind { return KindGossip }
 
-// Probe asks a member whether it is alive.
+// Probe checks whether a member is alive. The member replies with a ProbeAnswer.
 type Probe struct {
 	Sequence uint64 `msgpack:"sequence"`
-	// Self introduces the sender to a member that does not know it yet.
+	// Self introduces the sender to a member whose roster does not contain it yet.
 	Self   News   `msgpack:"self"`
 	Gossip Gossip `msgpack:"gossip"`
 	Stamped
@@ -105,8 +110,8 @@
 // MessageKind implements Message.
 func (*Probe) MessageKind() Kind { return KindProbe }
 
-// ProbeRequest asks a member to probe another, to tell a dead member from a
-// broken link.
+// ProbeRequest requests an indirect probe: the receiver probes the target, so that a
+// dead member can be distinguished from a broken link.
 type ProbeRequest struct {
 	Sequence uint64                   `msgpack:"sequence"`
 	Target   coltsfootward.InstanceID `msgpack:"target"`
@@ -116,7 +121,7 @@
 // MessageKind implements Message.
 func (*ProbeRequest) MessageKind() Kind { return KindProbeRequest }
 
-// ProbeAnswer answers a Probe or a ProbeRequest of that sequence.
+// ProbeAnswer is the reply to the Probe or ProbeRequest with the same sequence number.
 type ProbeAnswer struct {
 	Sequence uint64 `msgpack:"sequence"`
 	Gossip   Gossip `msgpack:"gossip"`
@@ -126,34 +131,37 @@
 // MessageKind implements Message.
 func (*ProbeAnswer) MessageKind() Kind { return KindProbeAnswer }
 
-// RosterDigest opens a comparison of two rosters. Equal totals end it.
+// RosterDigest starts a comparison of two rosters. If the totals are equal, the
+// comparison ends.
 type RosterDigest struct {
-	// Self introduces the sender to a member that does not know it yet.
-	Self  News   `msgpack:"self"`
+	// Self introduces the sender to a member whose roster does not contain it yet.
+	Self News `msgpack:"self"`
+	// Total is the combined hash of all entries of the sender's roster.
 	Total uint64 `msgpack:"total"`
 }
 
 // MessageKind implements Message.
 func (*RosterDigest) MessageKind() Kind { return KindRosterDigest }
 
-// RosterBuckets answers a RosterDigest whose total differs.
+// RosterBuckets is the reply to a RosterDigest whose total differs.
 type RosterBuckets struct {
-	// Self introduces the sender to a member that does not know it yet.
-	Self   News     `msgpack:"self"`
+	// Self introduces the sender to a member whose roster does not contain it yet.
+	Self News `msgpack:"self"`
+	// Hashes contains the combined hash of each bucket of the sender's roster.
 	Hashes []uint64 `msgpack:"hashes"`
-	// Members is how many members the sender knows, which tells how full its buckets
-	// are.
+	// Members is the number of entries in the sender's roster, from which the receiver
+	// estimates how full the buckets are.
 	Members int `msgpack:"members"`
 }
 
 // MessageKind implements Message.
 func (*RosterBuckets) MessageKind() Kind { return KindRosterBuckets }
 
-// RosterPage carries every member of some buckets.
+// RosterPage contains the sender's entries of some buckets of its roster.
 type RosterPage struct {
 	Buckets []int  `msgpack:"buckets"`
 	News    []News `msgpack:"news"`
-	// Answer is set when the receiver is to send its own members of these buckets.
+	// Answer requests a page with the receiver's own entries of these buckets.
 	Answer bool `msgpack:"answer"`
 }
 
--- a/core/message/message.go
+++ b/core/message/message.go
@@ -1,5 +1,5 @@
-// Package message defines what nodes say to each other. Every message is a
-// typed value; coltsfootward/io/peer carries it as msgpack over TCP.
+// Package message defines the messages that nodes exchange. Every message is a typed
+// value; coltsfootward/io/peer sends it as msgpack over TCP.
 package message
 
 import (
@@ -42,8 +42,8 @@
 	MessageKind() Kind
 }
 
-// prototypes returns an empty value of each kind. A new message type is added
-// here and nowhere else.
+// prototypes maps each kind to a constructor of an empty message. A new message type
+// has to be registered here and nowhere else.
 var prototypes = map[Kind]func() Message{
 	KindAnnouncement:         func() Message { return &Announcement{} },
 	KindGossip:               func() Message { return &Gossip{} },
@@ -71,8 +71,8 @@
 	KindClaimEndTaken:        func() Message { return &ClaimEndTaken{} },
 }
 
-// New returns an empty message of that kind to decode into, or nil for a kind
-// that this version does not know.
+// New returns an empty message of the given kind to decode into, or nil if this
+// version does not support the kind.
 func New(kind Kind) Message {
 	if prototype, ok := prototypes[kind]; ok {
 		return prototype()
@@ -80,89 +80,93 @@
 	return nil
 }
 
-// Call is the head of a request that an entry node sends to an upstream's
-// node. It never holds the caller's key.
+// Call is the head of a request that an entry node forwards to the node of an
+// upstream. It never contains the caller's API key.
 type Call struct {
 	Request      coltsfootward.RequestID        `msgpack:"request"`
 	Organisation coltsfootward.OrganisationName `msgpack:"organisation"`
 	Service      coltsfootward.ServiceName      `msgpack:"service"`
 	Method       string                         `msgpack:"method"`
 	Path         string                         `msgpack:"path"`
-	// Header is filled in by the caller's face; the decisions do not read it.
+	// Header is set by io/caller, which receives the caller's request. Package node
+	// does not read it.
 	Header   map[string][]string    `msgpack:"header"`
 	Priority coltsfootward.Priority `msgpack:"priority"`
-	// Second orders requests of one priority, where the organisation's priority
-	// goes before the route's.
+	// Second is a secondary priority that orders requests with equal Priority. It is
+	// set where the organisation's priority takes precedence over the route's.
 	Second coltsfootward.Priority `msgpack:"second,omitempty"`
-	// ShedRank orders requests for shedding over the whole chain; lower is
-	// more important. It is the same at every depth of one request.
+	// ShedRank orders requests for load shedding; a lower rank is more important. It is
+	// the same for all calls of one request's call tree.
 	ShedRank uint32 `msgpack:"shed_rank"`
-	// Budget is the number of attempts that this call and all below it may use.
+	// Budget is the number of attempts that this call and its child calls may use.
 	Budget int `msgpack:"budget"`
-	// NoRetries is set for the repeats of a caller that retries by itself: were
-	// the chain to retry as well, the two would multiply.
+	// NoRetries is set for a retry by the caller itself: if the nodes along the call
+	// chain retried as well, the numbers of attempts would multiply.
 	NoRetries bool `msgpack:"no_retries"`
-	// Timeout is what is left of the caller's time.
+	// Timeout is the remaining time until the caller's deadline.
 	Timeout time.Duration `msgpack:"timeout"`
-	// StartWithin is how long the call's admission lasts: it must have been
-	// dispatched by then, or not at all. Zero means no limit.
+	// StartWithin is the remaining time for which the call's admission is valid. A call
+	// that has not been dispatched by then must not be dispatched. Zero means no limit.
 	StartWithin time.Duration `msgpack:"start_within"`
-	// Renewable is set if StartWithin is what is left of a token of the
-	// organisation's rate and nothing else: when it has passed, the upstream's
-	// node may draw a token of its own in its place.
+	// Renewable is set if StartWithin is determined only by the expiry of a token of
+	// the organisation's rate. Once it has passed, the upstream's node may draw a new
+	// token in place of the expired one.
 	Renewable bool `msgpack:"renewable"`
-	// Unrepeatable requests are never attempted again once a byte may have
+	// Unrepeatable is set for requests that must not be retried once any byte may have
 	// reached a backend server.
 	Unrepeatable bool `msgpack:"unrepeatable"`
-	// IdempotencyKey is the caller's, passed on to the backend server.
+	// IdempotencyKey is the caller's key, forwarded to the backend server.
 	IdempotencyKey string `msgpack:"idempotency_key"`
-	// Depth counts the calls above this one; the entry call has depth zero.
+	// Depth is the number of ancestor calls; the call at the entry node has depth zero.
 	Depth int `msgpack:"depth"`
-	// Repeat is set if another backend server may have seen a routed request
-	// before, or if it is a call that such a request makes.
+	// Repeat is set if a backend server may already have received this routed request,
+	// or if this is a child call of such a request.
 	Repeat bool `msgpack:"repeat,omitempty"`
-	// Route is set if the request was routed by host and path. It is the class
-	// that the request's work belongs to.
+	// Route is set if the request was routed by host and path. It is the class by which
+	// the cost of the request is estimated.
 	Route coltsfootward.RouteName `msgpack:"route,omitempty"`
-	// Host is the authority that a routed request named.
+	// Host is the authority of a routed request.
 	Host string `msgpack:"host,omitempty"`
-	// Caller is the service beside the node that a routed request entered at.
+	// Caller is the service of the backend server beside the node at which a routed
+	// request entered.
 	Caller coltsfootward.ServiceName `msgpack:"caller,omitempty"`
 }
 
-// Load is what an upstream's node says about itself with every answer.
+// Load is the load report that an upstream's node sends with every answer.
 type Load struct {
-	// Running is the number of requests that the upstream serves.
+	// Running is the number of requests that the upstream is serving.
 	Running int `msgpack:"running"`
-	// Queued is the number of requests that wait for it.
+	// Queued is the number of requests that wait for the upstream.
 	Queued int `msgpack:"queued"`
 	// Limit is the current concurrency limit.
 	Limit int `msgpack:"limit"`
-	// Cold is how much longer the backend server is cold and gets few requests.
+	// Cold is the remaining time for which the backend server is cold and gets fewer
+	// requests.
 	Cold time.Duration `msgpack:"cold,omitempty"`
-	// ShedLevel is the highest shed rank that is still accepted; zero means all are.
+	// ShedLevel is the highest shed rank that is still accepted; zero means that all
+	// are.
 	ShedLevel uint32 `msgpack:"shed_level"`
-	// Excess is the part of the demand for the upstream's service that entry nodes
-	// are to refuse, in a routed deployment.
+	// Excess is the fraction of the demand for the upstream's service that entry nodes
+	// should refuse, in a routed deployment.
 	Excess float64 `msgpack:"excess,omitempty"`
-	// Cost is the slot time in seconds that one request of this class takes at the
-	// upstream, zero if that is not known.
+	// Cost is the slot time in seconds that one request of this class uses at the
+	// upstream; zero if it is not known.
 	Cost float64 `msgpack:"cost,omitempty"`
-	// Below says the same of the services that requests of this class need
-	// further down.
+	// Below contains the excess and the cost for each downstream service that requests
+	// of this class call, directly or indirectly.
 	Below []Pressure `msgpack:"below,omitempty"`
 }
 
-// Pressure is the part of the demand for a service that entry nodes are to refuse,
-// and the slot time in seconds that one request of a class takes there.
+// Pressure is the fraction of the demand for a service that entry nodes should refuse,
+// and the slot time in seconds that one request of a class uses at that service.
 type Pressure struct {
 	Service coltsfootward.ServiceName `msgpack:"service"`
 	Excess  float64                   `msgpack:"excess"`
 	Cost    float64                   `msgpack:"cost"`
 }
 
-// Answer is the head of what comes back for a Call: a backend server's status
-// and header, or a refusal.
+// Answer is the head of the response to a Call: the backend server's status and
+// header, or a refusal.
 type Answer struct {
 	Status  int                    `msgpack:"status"`
 	Header  map[string][]string    `msgpack:"header"`
@@ -170,10 +174,10 @@
 	Load    Load                   `msgpack:"load"`
 }
 
-// End closes an answer after its body. An answer without one is truncated.
+// End terminates an answer after its body. An answer without an End is truncated.
 type End struct {
-	// Attempts is how many attempts this call and all below it used.
+	// Attempts is the number of attempts that this call and its child calls used.
 	Attempts int `msgpack:"attempts"`
-	// Needed is how many they would have used if none had failed.
+	// Needed is the number of attempts that they would have used without failures.
 	Needed int `msgpack:"needed"`
 }
--- a/core/message/rate.go
+++ b/core/message/rate.go
@@ -6,14 +6,15 @@
 	"coltsfootward"
 )
 
-// The kinds of message by which tokens are drawn.
+// The kinds of message for drawing tokens of an organisation's rate.
 const (
 	KindDraw  Kind = "draw"
 	KindGrant Kind = "grant"
 	KindOffer Kind = "slot_offer"
 )
 
-// SlotOffer tells a node that a slot of its failure domain was released to it.
+// SlotOffer notifies a node that a slot of its failure domain was released for it to
+// acquire.
 type SlotOffer struct {
 	Domain coltsfootward.FailureDomain `msgpack:"domain"`
 	Slot   int                         `msgpack:"slot"`
@@ -22,39 +23,41 @@
 // MessageKind implements Message.
 func (*SlotOffer) MessageKind() Kind { return KindOffer }
 
-// Draw asks the holder of a slot for tokens of an organisation.
+// Draw requests tokens of an organisation's rate from the holder of a slot.
 type Draw struct {
-	// ID is the drawer's number for it; the grant repeats it.
+	// ID identifies the draw at the requesting node; the grant returns it.
 	ID           uint64                         `msgpack:"id"`
 	Organisation coltsfootward.OrganisationName `msgpack:"organisation"`
 	Domain       coltsfootward.FailureDomain    `msgpack:"domain"`
 	Slot         int                            `msgpack:"slot"`
-	// Need is how many requests wait, Ahead how many more are expected.
+	// Need is the number of requests that wait for a token, Ahead the number of further
+	// requests that are expected.
 	Need  int64 `msgpack:"need"`
 	Ahead int64 `msgpack:"ahead"`
-	// From is where the grant goes.
+	// From is the instance to which the grant is sent.
 	From coltsfootward.Instance `msgpack:"from"`
 }
 
 // MessageKind implements Message.
 func (*Draw) MessageKind() Kind { return KindDraw }
 
-// Grant answers a draw.
+// Grant is the reply to a Draw.
 type Grant struct {
 	ID uint64 `msgpack:"id"`
-	// Held is set if the sender holds the slot; else it grants nothing.
+	// Held is set if the sender holds the slot. Otherwise no tokens are granted.
 	Held bool `msgpack:"held"`
-	// Ask is the holder as far as a sender that is not knows it; its name is
-	// empty if it does not.
+	// Ask is the holder that a sender which is not the holder refers to. Its ID is
+	// empty if the sender does not know the holder.
 	Ask   coltsfootward.Instance `msgpack:"ask"`
 	Epoch uint64                 `msgpack:"epoch"`
-	// Tokens is how many tokens were granted.
+	// Tokens is the number of tokens granted.
 	Tokens int64 `msgpack:"tokens"`
-	// Life is how long they may be spent, counted from before the draw was sent.
+	// Life is the lifetime of the tokens, measured from before the draw was sent.
 	Life time.Duration `msgpack:"life"`
-	// EmptyFor is when to ask again if fewer were granted than needed.
+	// EmptyFor is the delay after which to draw again if fewer tokens than needed were
+	// granted.
 	EmptyFor time.Duration `msgpack:"empty_for"`
-	// Level is how many tokens are left at the holder.
+	// Level is the number of tokens that remain at the holder.
 	Level int64 `msgpack:"level"`
 }
 
--- a/core/message/stamped.go
+++ b/core/message/stamped.go
@@ -2,9 +2,9 @@
 
 import "coltsfootward/core/record"
 
-// Stamped is embedded in the messages that carry the sender's hybrid clock, so
-// that the time lines of all nodes merge into one order. The shell sets and
-// reads it; the decisions do not.
+// Stamped is embedded in messages that carry a stamp of the sender's hybrid clock, by
+// which the timelines of all nodes are merged into one order. The driver
+// of a node sets and reads it; package node does not.
 type Stamped struct {
 	Stamp record.Stamp `msgpack:"stamp"`
 }
@@ -12,7 +12,7 @@
 // SetStamp sets the sender's stamp.
 func (s *Stamped) SetStamp(stamp record.Stamp) { s.Stamp = stamp }
 
-// SentAt returns the sender's stamp.
+// SentAt returns the stamp that the sender set.
 func (s *Stamped) SentAt() record.Stamp { return s.Stamp }
 
 // Stamper is a message that carries a stamp.
