--- a/core/configuration/store.go
+++ b/core/configuration/store.go
@@ -1,5 +1,6 @@
-// Package configuration decides how operators' changes are stored: one winner
-// per race, no change applied twice, no lost answer guessed at.
+// Package configuration stores operators' changes of the configuration in the
+// platform's table. Of concurrent changes to one object exactly one succeeds, no
+// change is applied twice, and an unknown outcome is reported as unknown.
 package configuration
 
 import (
@@ -16,36 +17,39 @@
 
 const (
 	changeIDPrefix = "change_id/"
-	// digestPrefix is where the table keeps which key has a secret.
+	// digestPrefix is the prefix of the rows that map a secret's digest to its key's ID.
 	digestPrefix = "key_digest/"
-	// maximumTries bounds how often a change is tried when other changes win
-	// the revision counter. Of twenty operators at once, one wins each round.
-	maximumTries = 24
-	// maximumUnanswered bounds how often it is tried when the platform gives no
-	// answer: more would only add to the load of a platform in trouble.
+	// maximumAttempts bounds the attempts to store a change while other changes advance
+	// the revision counter first. Of twenty concurrent operators, one succeeds in each
+	// round.
+	maximumAttempts = 24
+	// maximumUnanswered bounds the attempts that the platform does not answer. More
+	// attempts would only add load to a failing platform.
 	maximumUnanswered = 4
-	// KeepChanges is how many changes the table keeps for readers that are
-	// behind; at 12,000 a day, 20 hours. Who is further behind reads the
-	// objects themselves.
+	// KeepChanges is the default number of changes that the table retains for readers
+	// that are behind: 20 hours at 12,000 changes a day. Readers that are further behind
+	// read the objects instead.
 	KeepChanges = 10000
 )
 
-// ConflictError says that the object has changed since the operator saw it.
+// ConflictError reports that the object has changed since the revision on which the
+// change was based.
 type ConflictError struct {
 	Object string
-	// Found is the object's present revision, BasedOn the operator's.
+	// Found is the object's current revision, BasedOn the revision that the change was
+	// based on.
 	Found, BasedOn coltsfootward.Revision
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("configuration: %s is at revision %d, the change was based on %d: read it again and decide anew", e.Object, e.Found, e.BasedOn)
+	return fmt.Sprintf("configuration: %s is at revision %d, the change was based on %d: read it again and repeat the change if it still applies", e.Object, e.Found, e.BasedOn)
 }
 
-// ChangeIDError says that another change was stored under the change's id.
+// ChangeIDError reports that another change was already stored under the same change ID.
 type ChangeIDError struct {
 	ChangeID string
-	// Revision is what the other change made.
+	// Revision is the revision of the other change.
 	Revision coltsfootward.Revision
 }
 
@@ -54,7 +58,7 @@
 	return fmt.Sprintf("configuration: change id %s belongs to the change of revision %d: choose a new id for each change", e.ChangeID, e.Revision)
 }
 
-// UnknownOrganisationError says that a key was issued for nobody.
+// UnknownOrganisationError reports a key for an organisation that does not exist.
 type UnknownOrganisationError struct {
 	Organisation coltsfootward.OrganisationName
 }
@@ -64,8 +68,8 @@
 	return fmt.Sprintf("configuration: there is no organisation %q: create it before its keys", e.Organisation)
 }
 
-// KeyReusedError says that a key's id or its secret belongs, or once belonged, to
-// another key.
+// KeyReusedError reports that a key's ID or secret belongs, or once belonged, to another
+// key.
 type KeyReusedError struct {
 	KeyID string
 }
@@ -75,7 +79,7 @@
 	return fmt.Sprintf("configuration: the id or the secret of key %s belongs to another key: issue a key with a new id and a new secret", e.KeyID)
 }
 
-// WithdrawnError says that a key was to be issued that was withdrawn before.
+// WithdrawnError reports an attempt to issue a key that was withdrawn before.
 type WithdrawnError struct {
 	KeyID string
 }
@@ -85,18 +89,19 @@
 	return fmt.Sprintf("configuration: key %s was withdrawn: issue a new key", e.KeyID)
 }
 
-// BusyError says that other changes won the revision counter each time. Nothing
-// was stored.
+// BusyError reports that other changes advanced the revision counter first in every
+// attempt. The change was not stored.
 type BusyError struct {
 	ChangeID string
 }
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("configuration: change %s was not stored because of too many others at once: send it again", e.ChangeID)
+	return fmt.Sprintf("configuration: change %s was not stored because of too many concurrent changes: send it again", e.ChangeID)
 }
 
-// DoubtError says that the platform did not say whether the change was stored.
+// DoubtError reports that the platform did not answer, so that it is unknown whether the
+// change was stored.
 type DoubtError struct {
 	ChangeID string
 	Err      error
@@ -104,61 +109,64 @@
 
 // Error implements error.
 func (e *DoubtError) Error() string {
-	return fmt.Sprintf("configuration: the platform did not say whether change %s was stored: %v: send it again with the same change id", e.ChangeID, e.Err)
+	return fmt.Sprintf("configuration: the platform did not answer whether change %s was stored: %v: send it again with the same change id", e.ChangeID, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *DoubtError) Unwrap() error { return e.Err }
 
-// Store puts changes into the platform's table. It is safe for concurrent use.
+// Store writes changes to the platform's table. It is safe for concurrent use.
 //
-// A change costs four reads, a key's two more, and one transaction of six rows:
-// its id, its object, the revision counter and the change itself, and the
-// removal of the change that falls out of the table's memory with its id; a
-// key's has a seventh for its digest.
+// A change takes four reads and one transaction that writes six rows: the change ID,
+// the object, the revision counter and the change itself, and the removal of the
+// oldest retained change and of its ID. A change of a key takes two more reads and a
+// seventh row, for the digest of the key.
 type Store struct {
-	table coltsfootward.Table
-	keep  coltsfootward.Revision
+	table    coltsfootward.Table
+	retained coltsfootward.Revision
 }
 
-// Options are a store's settings. The zero value means the defaults.
+// Options are the settings of a Store. The zero value means the defaults.
 type Options struct {
-	// KeepChanges is how many changes the table keeps. The default is KeepChanges.
+	// KeepChanges is the number of changes that the table retains. The default is the
+	// constant KeepChanges.
 	KeepChanges int
 }
 
-// NewStore returns a store on table.
+// NewStore returns a store that writes to table, with the default options.
 func NewStore(table coltsfootward.Table) *Store {
 	return NewStoreWithOptions(table, Options{})
 }
 
-// NewStoreWithOptions returns a store on table with these settings.
+// NewStoreWithOptions returns a store that writes to table.
 func NewStoreWithOptions(table coltsfootward.Table, options Options) *Store {
 	if options.KeepChanges <= 0 {
 		options.KeepChanges = KeepChanges
 	}
-	return &Store{table: table, keep: coltsfootward.Revision(options.KeepChanges)}
+	return &Store{table: table, retained: coltsfootward.Revision(options.KeepChanges)}
 }
 
-// Precondition says what a change was based on.
+// Precondition is the state of an object that a change requires.
 type Precondition struct {
-	// BasedOn is the revision of the object that the operator saw; zero means
-	// that it must not exist.
+	// BasedOn is the revision of the object on which the change is based; zero means
+	// that the object must not exist.
 	BasedOn coltsfootward.Revision
-	// Force applies the change whatever the object's revision.
+	// Force applies the change regardless of the object's revision.
 	Force bool
 }
 
-// Submit stores a change and returns its revision. The change's ID makes it
-// safe to submit again: a change that is stored already returns its revision.
-// It returns a *ConflictError, *ChangeIDError, *UnknownOrganisationError,
-// *KeyReusedError or *WithdrawnError for a change that cannot be, a *BusyError for one that was not
-// stored, and a *DoubtError for one that may have been.
+// Submit stores a change and returns its revision. Submit is idempotent by the change's
+// ID: for a change that is already stored it returns that change's revision.
+//
+// Submit returns a *ConflictError, *ChangeIDError, *UnknownOrganisationError,
+// *KeyReusedError or *WithdrawnError for an invalid change, a *BusyError for a change
+// that was not stored because of concurrent changes, and a *DoubtError for a change
+// that may or may not have been stored.
 func (s *Store) Submit(ctx context.Context, change coltsfootward.Change, precondition Precondition) (coltsfootward.Revision, error) {
 	var last error
 	unanswered := 0
-	for range maximumTries {
-		revision, err := s.try(ctx, change, precondition)
+	for range maximumAttempts {
+		revision, err := s.attempt(ctx, change, precondition)
 		if err == nil {
 			return revision, nil
 		}
@@ -173,26 +181,26 @@
 			break
 		}
 	}
-	// A conflict settles earlier tries that were not answered too: they were
-	// based on an older counter and cannot take effect any more.
+	// A conflict also settles earlier unanswered attempts: they were based on an older
+	// value of the counter and can no longer take effect.
 	if errors.Is(last, coltsfootward.ErrConflict) {
 		return 0, &BusyError{ChangeID: change.ID}
 	}
 	return 0, &DoubtError{ChangeID: change.ID, Err: last}
 }
 
-// try reads what the change depends on and writes it under the condition that
-// none of that has changed.
-func (s *Store) try(ctx context.Context, change coltsfootward.Change, precondition Precondition) (coltsfootward.Revision, error) {
-	done, err := s.table.Read(ctx, changeIDPrefix+change.ID)
+// attempt reads the rows that the change depends on and writes the change on condition
+// that none of them has changed since.
+func (s *Store) attempt(ctx context.Context, change coltsfootward.Change, precondition Precondition) (coltsfootward.Revision, error) {
+	stored, err := s.table.Read(ctx, changeIDPrefix+change.ID)
 	if err != nil {
 		return 0, err
 	}
-	if done.Version != 0 {
-		return storedRevision(change, done)
+	if stored.Version != 0 {
+		return storedRevision(change, stored)
 	}
 	t := &transaction{}
-	t.require(done)
+	t.require(stored)
 	if err := s.checkObject(ctx, t, change, precondition); err != nil {
 		return 0, err
 	}
@@ -221,10 +229,10 @@
 	return change.Revision, s.table.Transact(ctx, t.Transaction)
 }
 
-// storedRevision returns the revision of the change that was stored under the
-// id, if it is this change.
+// storedRevision returns the revision of the change that was stored under the change's
+// ID. It returns a *ChangeIDError if that is a different change.
 func storedRevision(change coltsfootward.Change, row coltsfootward.Row) (coltsfootward.Revision, error) {
-	var stored identity
+	var stored storedChangeID
 	if err := json.Unmarshal(row.Value, &stored); err != nil {
 		return 0, invalidRow(row, err)
 	}
@@ -238,37 +246,38 @@
 	return stored.Revision, nil
 }
 
-// checkObject refuses a change that was based on another state of its object,
-// and one that would bring back a withdrawn key: somebody may still hold it.
+// checkObject rejects a change that is not based on the current revision of its object,
+// a change that would reinstate a withdrawn key, which somebody may still possess, and
+// a change that would replace the secret of a key.
 func (s *Store) checkObject(ctx context.Context, t *transaction, change coltsfootward.Change, precondition Precondition) error {
 	row, err := s.table.Read(ctx, node.ObjectKey(change))
 	if err != nil {
 		return err
 	}
 	t.require(row)
-	var present coltsfootward.Change
+	var current coltsfootward.Change
 	if row.Version != 0 {
-		if err := json.Unmarshal(row.Value, &present); err != nil {
+		if err := json.Unmarshal(row.Value, &current); err != nil {
 			return invalidRow(row, err)
 		}
 	}
-	if !precondition.Force && present.Revision != precondition.BasedOn {
-		return &ConflictError{Object: node.ObjectKey(change), Found: present.Revision, BasedOn: precondition.BasedOn}
+	if !precondition.Force && current.Revision != precondition.BasedOn {
+		return &ConflictError{Object: node.ObjectKey(change), Found: current.Revision, BasedOn: precondition.BasedOn}
 	}
-	if present.Key == nil {
+	if current.Key == nil {
 		return nil
 	}
-	if present.Key.Withdrawn && !change.Key.Withdrawn {
+	if current.Key.Withdrawn && !change.Key.Withdrawn {
 		return &WithdrawnError{KeyID: change.Key.ID}
 	}
-	if present.Key.Digest != change.Key.Digest {
+	if current.Key.Digest != change.Key.Digest {
 		return &KeyReusedError{KeyID: change.Key.ID}
 	}
 	return nil
 }
 
-// checkDigest refuses a second key with the same secret: withdrawing one of them
-// would withdraw the other, and issuing one would seem to bring back the other.
+// checkDigest rejects a second key with the same secret: withdrawing one of the two
+// would also withdraw the other, and issuing one could reinstate the other.
 func (s *Store) checkDigest(ctx context.Context, t *transaction, change coltsfootward.Change) error {
 	if change.Key == nil {
 		return nil
@@ -285,9 +294,9 @@
 	return nil
 }
 
-// checkOrganisation refuses a key for an organisation that does not exist: it
-// would be honoured and then have no rate. Organisations are never deleted, so
-// what was read stays true.
+// checkOrganisation rejects a key for an organisation that does not exist: the key would
+// be accepted but have no rate. Organisations are never deleted, so the check needs no
+// condition in the transaction.
 func (s *Store) checkOrganisation(ctx context.Context, change coltsfootward.Change) error {
 	if change.Key == nil || change.Key.Withdrawn {
 		return nil
@@ -303,15 +312,14 @@
 	return nil
 }
 
-// prune removes the change that is older than the table is to keep, with its
-// id, in the transaction of the change that takes its place. So the table stays
-// bounded with no duty of its own, and a transaction that is tried again prunes
-// the same change.
+// prune removes the change that exceeds the number of retained changes, and its ID, in
+// the transaction that stores the next change. The table thus stays bounded without a
+// separate clean-up task, and a repeated transaction prunes the same change.
 func (s *Store) prune(ctx context.Context, t *transaction, next coltsfootward.Revision) error {
-	if next <= s.keep {
+	if next <= s.retained {
 		return nil
 	}
-	row, err := s.table.Read(ctx, node.ChangeKey(next-s.keep))
+	row, err := s.table.Read(ctx, node.ChangeKey(next-s.retained))
 	if err != nil || row.Version == 0 {
 		return err
 	}
@@ -325,15 +333,15 @@
 	return nil
 }
 
-// identity is what the table keeps under a change's id.
-type identity struct {
+// storedChangeID is the value of the row of a change's ID.
+type storedChangeID struct {
 	Revision coltsfootward.Revision `json:"revision"`
-	// Content is a digest of the change without its revision.
+	// Content is the digest of the change without revisions.
 	Content string `json:"content"`
 }
 
-// digest leaves the revisions out: an operator who sends a change again may have
-// read its object anew.
+// digest returns a hash of a change without revisions, since an operator who resends a
+// change may have read its object again in between.
 func digest(change coltsfootward.Change) (string, error) {
 	change.Revision = 0
 	if change.Organisation != nil {
@@ -359,18 +367,18 @@
 	return hex.EncodeToString(sum[:]), nil
 }
 
-// transaction gathers what a change depends on and what it writes.
+// transaction collects the conditions and writes of a change.
 type transaction struct {
 	coltsfootward.Transaction
 }
 
-// require makes the transaction depend on the row being as it was read.
+// require adds the condition that the row has not changed since it was read.
 func (t *transaction) require(row coltsfootward.Row) {
 	t.Conditions = append(t.Conditions, coltsfootward.Condition{Key: row.Key, Version: row.Version})
 }
 
-// store writes the change, and its object so that a reader who is far behind
-// need not replay all changes.
+// store adds the writes of the change. The object is stored as well, so that a reader
+// that is far behind need not replay all changes.
 func (t *transaction) store(change coltsfootward.Change) error {
 	value, err := json.Marshal(change)
 	if err != nil {
@@ -380,7 +388,7 @@
 	if err != nil {
 		return err
 	}
-	id, err := json.Marshal(identity{Revision: change.Revision, Content: content})
+	id, err := json.Marshal(storedChangeID{Revision: change.Revision, Content: content})
 	if err != nil {
 		return fmt.Errorf("configuration: encode change id: %w", err)
 	}
@@ -393,5 +401,5 @@
 }
 
 func invalidRow(row coltsfootward.Row, err error) error {
-	return fmt.Errorf("configuration: the table's row %s cannot be read: restore it from its change: %w", row.Key, err)
+	return fmt.Errorf("configuration: row %s of the table cannot be decoded: restore it from its change: %w", row.Key, err)
 }
--- a/core/configuration/store_test.go
+++ b/core/configuration/store_test.go
@@ -13,14 +13,14 @@
 	"coltsfootward/core/nodetest"
 )
 
-// steppedTable calls step before each operation with its number, and lets the
-// answer of one transaction be lost.
+// steppedTable is a table that calls step with the number of each operation before it
+// runs, and that loses the responses to some transactions.
 type steppedTable struct {
 	coltsfootward.Table
 	count int
 	step  func(number int)
-	// lose is how many transactions take effect and then go unanswered.
-	lose int
+	// lostResponses is the number of transactions that take effect but return ErrUnavailable.
+	lostResponses int
 }
 
 func (s *steppedTable) next() {
@@ -38,8 +38,8 @@
 func (s *steppedTable) Transact(ctx context.Context, t coltsfootward.Transaction) error {
 	s.next()
 	err := s.Table.Transact(ctx, t)
-	if s.lose > 0 {
-		s.lose--
+	if s.lostResponses > 0 {
+		s.lostResponses--
 		return coltsfootward.ErrUnavailable
 	}
 	return err
@@ -60,54 +60,55 @@
 	return configuration.NewStore(table).Submit(context.Background(), change, configuration.Precondition{BasedOn: basedOn})
 }
 
-// Two operators change the same organisation, then different ones, at the same
-// moment: one's whole change falls before each step of the other's in turn. Of
-// two changes to one object based on the same state, one must win and the other
-// be told; changes to different objects both hold.
-func TestRacingOperators(t *testing.T) {
-	for at := 1; at <= 4; at++ {
+// Two operators change the same organisation, or two different ones, concurrently: the
+// second change runs entirely before one table operation of the first, for each
+// operation in turn. Of two changes to one object based on the same revision, one must
+// be stored and the other return a ConflictError; changes to different objects must
+// both be stored.
+func TestConcurrentChanges(t *testing.T) {
+	for operation := 1; operation <= 4; operation++ {
 		for _, other := range []string{"traders", "importers"} {
-			t.Run(fmt.Sprintf("step %d against %s", at, other), func(t *testing.T) {
+			t.Run(fmt.Sprintf("step %d against %s", operation, other), func(t *testing.T) {
 				table := nodetest.New(1).Table
 				stepped := &steppedTable{Table: table}
 				var second error
 				stepped.step = func(number int) {
-					if number == at {
+					if number == operation {
 						_, second = submit(t, table, organisation("b", other, 2), 0)
 					}
 				}
 				_, first := submit(t, stepped, organisation("a", "traders", 1), 0)
 				if second != nil {
-					t.Errorf("the change that came first: got %v, want it stored", second)
+					t.Errorf("the change that was stored first: got %v, want no error", second)
 				}
 				var conflict *configuration.ConflictError
 				if lost := errors.As(first, &conflict); lost != (other == "traders") {
-					t.Errorf("the change that came second against %s: got %v", other, first)
+					t.Errorf("the concurrent change, against %s: got %v", other, first)
 				}
 				rows, _ := table.Scan(context.Background(), node.ChangePrefix, "", 10)
 				if want := map[bool]int{true: 1, false: 2}[other == "traders"]; len(rows) != want {
-					t.Errorf("got %d changes stored and %v, want %d", len(rows), first, want)
+					t.Errorf("got %d changes stored and error %v, want %d", len(rows), first, want)
 				}
 			})
 		}
 	}
 }
 
-// The platform stores a change and its answer is lost, once or every time. The
-// change must be stored once, and the operator who sends it again must get its
-// revision, not a conflict with himself.
-func TestLostAnswers(t *testing.T) {
-	for _, lose := range []int{1, 100} {
+// The platform stores a change but its response is lost, once or every time. The change
+// must be stored once, and sending it again must return its revision, not a conflict
+// with the change itself.
+func TestLostTransactionResponses(t *testing.T) {
+	for _, lost := range []int{1, 100} {
 		table := nodetest.New(1).Table
-		stepped := &steppedTable{Table: table, lose: lose}
+		stepped := &steppedTable{Table: table, lostResponses: lost}
 		revision, err := submit(t, stepped, organisation("a", "traders", 1), 0)
 		if err != nil || revision != 1 {
-			t.Errorf("with %d lost: got revision %d and %v, want 1", lose, revision, err)
+			t.Errorf("with %d responses lost: got revision %d and error %v, want 1", lost, revision, err)
 		}
-		read := organisation("a", "traders", 1)
-		read.Organisation.Revision = 1
-		if again, err := submit(t, table, read, 0); again != 1 || err != nil {
-			t.Errorf("sent again: got revision %d and %v, want 1", again, err)
+		resent := organisation("a", "traders", 1)
+		resent.Organisation.Revision = 1
+		if again, err := submit(t, table, resent, 0); again != 1 || err != nil {
+			t.Errorf("sent again: got revision %d and error %v, want 1", again, err)
 		}
 		if rows, _ := table.Scan(context.Background(), node.ChangePrefix, "", 10); len(rows) != 1 {
 			t.Errorf("got %d changes stored, want 1", len(rows))
@@ -115,9 +116,9 @@
 	}
 }
 
-// The platform does not answer at all. The operator must be told that the
-// change may or may not be stored, and how to find out.
-func TestDoubtIsSaid(t *testing.T) {
+// The platform does not answer at all. The error must say that the change may or may
+// not be stored, and how to find out.
+func TestUnavailableTableReturnsDoubtError(t *testing.T) {
 	table := nodetest.New(1).Table
 	table.Outage = true
 	var doubt *configuration.DoubtError
@@ -126,7 +127,7 @@
 	}
 }
 
-func TestRefusedChanges(t *testing.T) {
+func TestRejectedChanges(t *testing.T) {
 	table := nodetest.New(1).Table
 	for _, c := range []struct {
 		change  coltsfootward.Change
@@ -136,35 +137,35 @@
 			t.Fatal(err)
 		}
 	}
-	strangersKey := key("k3", "nobody", false)
-	strangersKey.Key.ID, strangersKey.Key.Digest = "stranger", "another"
+	unknownOwner := key("k3", "nobody", false)
+	unknownOwner.Key.ID, unknownOwner.Key.Digest = "stranger", "another"
 	sameSecret := key("k5", "traders", false)
 	sameSecret.Key.ID = "second"
 	sameID := key("k6", "traders", true)
 	sameID.Key.Digest = "new secret"
 	tests := []struct {
-		story   string
+		name    string
 		change  coltsfootward.Change
 		basedOn coltsfootward.Revision
 		kind    any
 	}{
-		{"an id that belongs to another change would make the second one vanish", organisation("a", "traders", 2), 1, new(*configuration.ChangeIDError)},
-		{"a key of an organisation that does not exist would have no rate", strangersKey, 0, new(*configuration.UnknownOrganisationError)},
-		{"a withdrawn key may still be in somebody's hands", key("k4", "traders", false), 3, new(*configuration.WithdrawnError)},
-		{"withdrawing one key must not withdraw another", sameSecret, 0, new(*configuration.KeyReusedError)},
-		{"a key under an old id would take that key's place in the table", sameID, 3, new(*configuration.KeyReusedError)},
-		{"a change based on an older state would undo another operator's", organisation("c", "traders", 3), 0, new(*configuration.ConflictError)},
+		{"the change id of another change: the new change would be lost", organisation("a", "traders", 2), 1, new(*configuration.ChangeIDError)},
+		{"a key of an unknown organisation: it would have no rate", unknownOwner, 0, new(*configuration.UnknownOrganisationError)},
+		{"a withdrawn key: somebody may still possess it", key("k4", "traders", false), 3, new(*configuration.WithdrawnError)},
+		{"the secret of another key: withdrawing one key would withdraw both", sameSecret, 0, new(*configuration.KeyReusedError)},
+		{"the id of another key: the new key would replace it in the table", sameID, 3, new(*configuration.KeyReusedError)},
+		{"a change based on an older revision: it would undo another operator's change", organisation("c", "traders", 3), 0, new(*configuration.ConflictError)},
 	}
 	for _, test := range tests {
 		if _, err := submit(t, table, test.change, test.basedOn); err == nil || !errors.As(err, test.kind) {
-			t.Errorf("%s: got %v, want %T", test.story, err, test.kind)
+			t.Errorf("%s: got %v, want %T", test.name, err, test.kind)
 		}
 	}
 }
 
-// The table keeps only the latest changes. A node that starts with no peer needs
-// the configuration as it stands all the same, while operators go on.
-func TestNodeRestoresWhatTheTableDropped(t *testing.T) {
+// The table retains only the latest changes. A node that starts without peers must
+// still get the full current configuration, while operators continue to change it.
+func TestNodeRestoresPrunedChanges(t *testing.T) {
 	rig := nodetest.New(1)
 	store := configuration.NewStoreWithOptions(rig.Table, configuration.Options{KeepChanges: 10})
 	want := coltsfootward.Configuration{}
