--- a/core/record/catalogue_test.go
+++ b/core/record/catalogue_test.go
@@ -11,13 +11,13 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// docs/EVENTS.md says what each number means. After a change of the catalogue
-// read what moved and run go test coltsfootward/core/record -update.
+// Compares docs/EVENTS.md with the catalogue. After a change of the catalogue, run
+// go test coltsfootward/core/record -update and review the difference.
 func TestEventsPage(t *testing.T) {
 	var page strings.Builder
-	page.WriteString("# Events\n\nEvery event has a number that is never reused. It stands as `code` in the log and\n" +
-		"on the time line (`coltsfootctl timeline`). The hundreds group them: 1xx life of\n" +
-		"the node, 2xx requests, 3xx backend servers, 4xx configuration, 5xx rate and\n" +
+	page.WriteString("# Events\n\nEvery kind of event has a code that is never reused. It is the field `code` in the log\n" +
+		"and on the timeline (`coltsfootctl timeline`). Codes are grouped by their hundreds: 1xx\n" +
+		"node life cycle, 2xx requests, 3xx backend servers, 4xx configuration, 5xx rates and\n" +
 		"leases, 6xx claims, 7xx membership, 8xx platform, 9xx peers.\n\n" +
 		"| Code | Name | Level | What happened and what to do |\n|---|---|---|---|\n")
 	for _, entry := range record.Catalogue() {
@@ -31,11 +31,11 @@
 	last := record.Code(0)
 	for _, entry := range record.Catalogue() {
 		if entry.Code <= last {
-			t.Errorf("got code %d after %d, want them in order", entry.Code, last)
+			t.Errorf("got code %d after %d, want ascending codes", entry.Code, last)
 		}
 		last = entry.Code
 		if names[entry.Name] || entry.Name == "" || entry.Text == "" {
-			t.Errorf("got entry %+v, want a name of its own and a text", entry)
+			t.Errorf("got entry %+v, want a unique name and a text", entry)
 		}
 		names[entry.Name] = true
 		if !slices.Contains([]string{"debug", "info", "warn", "error"}, entry.Level) {
--- a/core/record/ring.go
+++ b/core/record/ring.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ring keeps the latest records in bounded memory and stamps each with the
-// node's hybrid clock. Create it with NewRing. It is safe for concurrent use.
+// Ring is a ring buffer of the latest records. It stamps each record with the node's
+// hybrid clock. Create it with NewRing. It is safe for concurrent use.
 type Ring struct {
 	mu      sync.Mutex
 	clock   HybridClock
@@ -15,12 +15,12 @@
 	full    bool
 }
 
-// NewRing returns a ring that keeps size records; size must be at least 1.
+// NewRing returns a ring with a capacity of size records; size must be at least 1.
 func NewRing(size int) *Ring {
 	return &Ring{records: make([]Record, size)}
 }
 
-// Add puts a record in place of the oldest.
+// Add stamps a record and adds it. If the ring is full, it replaces the oldest record.
 func (r *Ring) Add(record Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,15 +33,15 @@
 	}
 }
 
-// Stamp returns the stamp to send to peers at wall.
+// Stamp returns the stamp for a message sent to a peer at the time wall.
 func (r *Ring) Stamp(wall time.Time) Stamp { return r.clock.Next(wall) }
 
-// Heard takes in a peer's stamp, so that what this node does from now on sorts
-// after it.
+// Heard merges the stamp of a message received from a peer at the time wall, so that
+// this node's later records sort after it. See HybridClock.Heard.
 func (r *Ring) Heard(peer Stamp, wall time.Time) { r.clock.Heard(peer, wall) }
 
-// Last returns up to limit of the latest records, oldest first; zero or less
-// means all.
+// Last returns up to limit of the latest records, oldest first. A limit of zero or less
+// returns all records.
 func (r *Ring) Last(limit int) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
