--- a/core/node/membership_test.go
+++ b/core/node/membership_test.go
@@ -12,10 +12,10 @@
 	"coltsfootward/core/record"
 )
 
-// An operator stops a node as planned. The others must know it within seconds,
-// and must not take it for one that was killed: that would be a warning on every
+// An operator stops a node. The other nodes must learn of it within seconds and
+// must not report it as failed, since that would log a warning for every
 // planned stop.
-func TestPlannedStopIsNoFailure(t *testing.T) {
+func TestPlannedStopIsNotReportedAsFailure(t *testing.T) {
 	f := newFleet(1, 2, 5)
 	f.settle(t)
 	leaving := f.members[3]
@@ -31,7 +31,7 @@
 		}
 	}
 	if !leaving.Drained {
-		t.Fatal("a node with nothing in hand has not drained")
+		t.Fatal("a node without requests in progress has not drained")
 	}
 	leaving.Kill()
 	f.Run(30 * time.Second)
@@ -44,10 +44,10 @@
 	}
 }
 
-// Every instance of a deployment was replaced while none was up, under new names
-// and addresses; the table names only the old ones. The new ones must find each
-// other all the same.
-func TestStaleContactsDoNotKeepNodesApart(t *testing.T) {
+// All instances of a deployment were replaced while none was running. The new
+// ones have other names and addresses, and the table contains only the old
+// ones. The new instances must find each other nevertheless.
+func TestNodesFindEachOtherDespiteStaleContacts(t *testing.T) {
 	f := newFleet(2, 2, 6)
 	f.settle(t)
 	for _, m := range f.members {
@@ -63,9 +63,10 @@
 	f.settle(t)
 }
 
-// An instance is replaced under the same name at another address while its
-// domain still believes in the earlier run. Work must go to the new address.
-func TestReplacedInstanceIsFoundAtItsNewAddress(t *testing.T) {
+// An instance is replaced by one with the same name at another address while
+// its failure domain still considers the earlier run alive. Requests must go to
+// the new address.
+func TestReplacedInstanceIsReachedAtNewAddress(t *testing.T) {
 	f := newFleet(3, 2, 4)
 	f.settle(t)
 	old := f.members[2]
--- a/core/node/node_test.go
+++ b/core/node/node_test.go
@@ -12,7 +12,7 @@
 
 const testKey = coltsfootward.KeyDigest("digest")
 
-// single is one node driven without a shell.
+// single drives one node without a network.
 type single struct {
 	t     *testing.T
 	node  *node.Node
@@ -21,7 +21,7 @@
 	next  node.CallID
 }
 
-// rowTable answers a node's operations on single rows at once.
+// rowTable answers a node's operations on single rows immediately.
 type rowTable map[string]coltsfootward.Row
 
 func (t rowTable) answer(action node.Action) (node.Event, bool) {
@@ -57,11 +57,11 @@
 	}
 	s := &single{t: t, table: make(rowTable), now: coltsfootward.At(time.Hour)}
 	s.node = node.New(options, rand.New(rand.NewPCG(1, 2)), s.now)
-	s.takeSlots()
+	s.acquireSlots()
 	return s
 }
 
-// handle hands an event in and answers what the node asks of its table.
+// handle passes an event to the node and answers its table operations.
 func (s *single) handle(event node.Event) []node.Action {
 	actions := s.node.Handle(s.now, event)
 	for i := 0; i < len(actions); i++ {
@@ -72,15 +72,16 @@
 	return actions
 }
 
-// takeSlots lets time pass until the node holds its failure domain's slots.
-func (s *single) takeSlots() {
+// acquireSlots runs the node until it holds its failure domain's slots.
+func (s *single) acquireSlots() {
 	for range 4 {
 		s.now = s.now.Add(time.Second)
 		s.handle(node.Tick{})
 	}
 }
 
-// configure puts one organisation, its key and one service in force.
+// configure puts a configuration with one organisation, its key and one service
+// in force.
 func (s *single) configure(rate coltsfootward.Rate) {
 	s.handle(node.MessageArrived{Message: &message.ConfigurationChanges{Changes: []coltsfootward.Change{
 		{Revision: 1, Organisation: &coltsfootward.Organisation{Name: "traders", Rate: rate}},
@@ -89,7 +90,7 @@
 	}}})
 }
 
-// request sends a request and returns the refusal or the forward that follows.
+// request sends a request and returns the resulting refusal or forward.
 func (s *single) request() (*node.Refuse, *node.Forward) {
 	s.next++
 	for _, action := range s.handle(node.RequestArrived{Call: s.next, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}) {
@@ -103,10 +104,11 @@
 	return nil, nil
 }
 
-// A caller polls a service whose backend server starts a second later. When it
-// is there at last, every request is refused as above the rate: each refusal
-// for want of a backend server had kept the token drawn for it.
-func TestRefusalWithoutBackendServerCostsNoRate(t *testing.T) {
+// A refusal for lack of a backend server must not spend a token. Otherwise a
+// caller that polls a service whose backend server starts later has used up its
+// rate by the time the server is available, and its requests are refused as
+// above the rate.
+func TestRefusalWithoutBackendServerSpendsNoToken(t *testing.T) {
 	s := newSingle(t)
 	s.configure(coltsfootward.Rate{PerSecond: 0.001, Burst: 2})
 	for range 5 {
@@ -121,10 +123,11 @@
 	}
 }
 
-// The only backend server of a service is full and refuses a call, which is to
-// be tried elsewhere. There is no other, and the caller is told that no backend
-// server takes work: operators look for servers that are running.
-func TestRefusalOfTheLastServerIsTold(t *testing.T) {
+// The only backend server of a service is full and refuses a call, and there is
+// no other server to try. The caller must receive the server's refusal. A
+// refusal that says no backend server is available would make operators look
+// for servers that are running.
+func TestLastServersRefusalIsReturned(t *testing.T) {
 	s := newSingle(t)
 	s.configure(coltsfootward.Rate{PerSecond: 100, Burst: 100})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 1})
--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -13,18 +13,20 @@
 	"pgregory.net/rapid"
 )
 
-// ratedFleet is a rig in which every node has a backend server of one service.
+// ratedFleet is a rig in which every node has a backend server of the same
+// service.
 type ratedFleet struct {
 	rig     *nodetest.Rig
 	domains []coltsfootward.FailureDomain
 	nodes   []*nodetest.Member
 }
 
-// fleetTerm is short, so that slots change hands within each run.
-const fleetTerm = 20 * time.Second
+// shortLeaseTerm makes slots change holders within each run.
+const shortLeaseTerm = 20 * time.Second
 
-// newRatedFleet returns nodesPerDomain nodes in each of so many failure domains, and
-// the organisation traders at that rate.
+// newRatedFleet returns a rig with domainCount failure domains of
+// nodesPerDomain nodes each, and the organisation "traders" with the given
+// rate.
 func newRatedFleet(seed uint64, domainCount, nodesPerDomain int, rate coltsfootward.Rate) *ratedFleet {
 	f := &ratedFleet{rig: nodetest.New(seed)}
 	f.setRate(rate)
@@ -38,7 +40,7 @@
 	for i, domain := range f.domains {
 		for j := range nodesPerDomain {
 			id := coltsfootward.InstanceID(fmt.Sprintf("node-%d-%d", i, j))
-			m := f.rig.Add(node.Options{Self: nodetest.Instance(id, domain), Domains: f.domains, LeaseTerm: fleetTerm})
+			m := f.rig.Add(node.Options{Self: nodetest.Instance(id, domain), Domains: f.domains, LeaseTerm: shortLeaseTerm})
 			m.Announce("quotes", 100)
 			f.nodes = append(f.nodes, m)
 		}
@@ -54,7 +56,7 @@
 	return m.Send(nodetest.Request{Key: testKey, Service: "quotes"})
 }
 
-// starts returns when each request began at a backend server, in order.
+// starts returns the times at which requests began at backend servers, sorted.
 func (f *ratedFleet) starts() []time.Duration {
 	var starts []time.Duration
 	for _, m := range f.nodes {
@@ -66,9 +68,9 @@
 	return starts
 }
 
-// checkBound compares all starts with one naive bucket of the whole burst and
-// rate: it has a token for every start exactly if no window of any length w
-// holds more than burst + rate·w of them.
+// checkBound checks that no window of any length w contains more than burst +
+// rate·w starts. This holds exactly if one token bucket with the full burst and
+// rate has a token for every start.
 func checkBound(starts []time.Duration, rate coltsfootward.Rate) error {
 	const rounding = 1e-6
 	level := float64(rate.Burst)
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// fault is something that goes wrong, or is changed, during a run.
+// fault is a failure or an operator's action that is injected during a run.
 type fault struct {
 	name string
 	run  func(f *ratedFleet, m *nodetest.Member, d time.Duration)
@@ -138,11 +140,12 @@
 	m.Announce("quotes", 100)
 }
 
-// An organisation gets more than its burst and rate: a node that was paused
-// spends what it drew long ago, two nodes grant the same part, or a new holder
-// of a slot starts with a full bucket after the old one gave its own away.
-// Random faults, alone and together, while far more is sent than the rate.
-func TestFleetNeverAboveRateAndBurst(t *testing.T) {
+// An organisation must not exceed its rate and burst. Possible causes are a
+// node that was paused and then spends old tokens, two nodes that grant the
+// same part, and a new slot holder that starts with a full bucket although the
+// previous one has granted its tokens. The test injects random faults, alone
+// and together, under a load far above the rate.
+func TestRateAndBurstHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := coltsfootward.Rate{
 			PerSecond: rapid.Float64Range(1, 60).Draw(t, "rate"),
@@ -166,7 +169,7 @@
 	})
 }
 
-// flood sends requests to all nodes in turn for d.
+// flood sends requests to randomly chosen nodes for d.
 func (f *ratedFleet) flood(d time.Duration, perSecond float64) {
 	gap := time.Duration(float64(time.Second) / perSecond)
 	for end := f.rig.Now() + d; f.rig.Now() < end; {
@@ -175,11 +178,11 @@
 	}
 }
 
-// Two failure domains are 45 ms apart, and tokens live for 75 ms. A token that
-// the far holder granted arrives when its life is over, counted from before it
-// was drawn. Counted from its arrival it would be spent 165 ms after it left
-// the bucket, which allows for 75.
-func TestTokensLiveFromBeforeTheDraw(t *testing.T) {
+// Two failure domains are 45 ms apart, and tokens have a lifetime of 75 ms. A
+// token from the remote holder arrives after its lifetime, which starts before
+// the draw. If the lifetime started at the arrival, the token could be spent
+// 165 ms after it left the bucket, which accounts for 75 ms only.
+func TestTokenLifetimeStartsBeforeDraw(t *testing.T) {
 	answered := 0
 	for sender := range 2 {
 		f := newRatedFleet(1, 2, 1, coltsfootward.Rate{PerSecond: 10, Burst: 4})
@@ -188,20 +191,21 @@
 		o := f.send(f.nodes[sender])
 		f.rig.Run(time.Second)
 		if !o.Done {
-			t.Errorf("got no final answer after a second, want one")
+			t.Errorf("got no final response after 1 s, want one")
 		}
 		if o.Answered {
 			answered++
 		}
 	}
 	if answered != 1 {
-		t.Errorf("got an answer at %d of the two nodes, want one, at the one that holds the part", answered)
+		t.Errorf("got a response at %d of the two nodes, want it only at the node that holds the part", answered)
 	}
 }
 
-// The holder of the slots is killed, and another node takes them over after
-// their term. Until then the rest of the fleet's parts go on.
-func TestTakeoverBringsThePartBack(t *testing.T) {
+// The nodes that hold the slots of a failure domain are killed, and a restarted
+// one takes the slots over after the lease term. Until then, the parts of the
+// other failure domain must still be granted.
+func TestPartIsGrantedAgainAfterTakeover(t *testing.T) {
 	rate := coltsfootward.Rate{PerSecond: 40, Burst: 40}
 	f := newRatedFleet(3, 2, 2, rate)
 	f.rig.Run(15 * time.Second)
@@ -223,9 +227,9 @@
 	}
 }
 
-// Calm demand inside the rate is refused as above it: the tokens lie in other
-// failure domains, or ran out unspent at nodes that had drawn them ahead.
-func TestCalmDemandInsideTheRate(t *testing.T) {
+// Demand below the rate must not be refused because the tokens are in other
+// failure domains or expired unspent at nodes that had prefetched them.
+func TestDemandBelowRateIsNotRefused(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		rate   coltsfootward.Rate
@@ -242,10 +246,10 @@
 	} {
 		f := newRatedFleet(5, 4, 2, c.rate)
 		f.rig.Run(15 * time.Second)
-		offered, refused, naive := f.calm(60*time.Second, c.share*c.rate.PerSecond, c.oneDom, c.rate)
-		t.Logf("%s: %d offered, %d refused, %d by one naive bucket", c.name, offered, refused, naive)
+		offered, refused, naive := f.sendPoisson(60*time.Second, c.share*c.rate.PerSecond, c.oneDom, c.rate)
+		t.Logf("%s: %d offered, %d refused, %d refused by a single bucket", c.name, offered, refused, naive)
 		if share := float64(refused-naive) / float64(offered); share > c.most {
-			t.Errorf("%s: got %.3f of the requests refused beyond those of the naive bucket, want at most %.3f", c.name, share, c.most)
+			t.Errorf("%s: got a fraction of %.3f of the requests refused beyond those of a single bucket, want at most %.3f", c.name, share, c.most)
 		}
 		if err := checkBound(f.starts(), c.rate); err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -253,9 +257,10 @@
 	}
 }
 
-// calm sends requests at random times and returns how many were offered, how
-// many were refused, and how many one bucket of the whole rate would refuse.
-func (f *ratedFleet) calm(d time.Duration, perSecond float64, oneDomain bool, rate coltsfootward.Rate) (offered, refused, naive int) {
+// sendPoisson sends requests at random times. It returns the number of
+// requests, the number of refused ones, and the number that a single token
+// bucket with the full rate would refuse.
+func (f *ratedFleet) sendPoisson(d time.Duration, perSecond float64, oneDomain bool, rate coltsfootward.Rate) (offered, refused, naive int) {
 	var outcomes []*nodetest.Outcome
 	level, last := float64(rate.Burst), f.rig.Now()
 	for end := f.rig.Now() + d; f.rig.Now() < end; {
@@ -282,17 +287,17 @@
 	return len(outcomes), refused, naive
 }
 
-// The only node of a domain is told to leave while the platform is away. It
-// counts no running member any more, not even itself, and panicked when it chose
-// one of them at random to read the table.
-func TestLastNodeLeavesDuringAnOutage(t *testing.T) {
+// Guards against a panic when the only node of a failure domain drains while
+// the platform is unavailable. The node then counts no running member, not even
+// itself, and panicked when it chose a random member to read the table.
+func TestLastNodeDrainsDuringOutage(t *testing.T) {
 	f := newRatedFleet(1, 1, 1, coltsfootward.Rate{PerSecond: 1, Burst: 1})
 	f.rig.Run(2 * time.Second)
 	f.rig.Table.Outage = true
 	f.nodes[0].Drain()
 	f.rig.Run(20 * time.Second)
 	if !f.nodes[0].Drained {
-		t.Error("got a node that still waits, want it drained")
+		t.Error("got a node that is not drained after 20 s, want it drained")
 	}
 }
 
--- a/core/node/slope_test.go
+++ b/core/node/slope_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkInForce gives how long a change takes until it is in force at every
-// node of a domain, and until an operator's node has that confirmed, with the
-// platform's reads meanwhile. Run it once:
+// BenchmarkInForce measures the time until a change is in force at every node
+// of a failure domain, the time until an operator's node has confirmed that,
+// and the load on the platform. Run it once:
 //
 //	go test ./core/node -run '^$' -bench InForce -benchtime 1x
 func BenchmarkInForce(b *testing.B) {
@@ -23,7 +23,7 @@
 
 func measureInForce(b *testing.B, f *fleet) {
 	b.Helper()
-	known := func() bool {
+	allKnown := func() bool {
 		for _, m := range f.members {
 			if len(m.Node().Status().Peers) != len(f.members)-1 {
 				return false
@@ -31,10 +31,10 @@
 		}
 		return true
 	}
-	for !known() {
+	for !allKnown() {
 		f.Run(5 * time.Second)
 		if f.Now() > 5*time.Minute {
-			b.Fatal("nodes do not know each other after 5 minutes")
+			b.Fatal("nodes do not know each other after 5 min")
 		}
 	}
 	b.ReportMetric(f.Now().Seconds(), "s-to-form")
@@ -45,14 +45,14 @@
 	var force, confirmed time.Duration
 	const changes = 5
 	for range changes {
-		f.another()
+		f.changeIdleRate()
 		began := f.Now()
-		if !f.RunUntil(time.Minute, func() bool { return f.current() }) {
-			b.Fatal("not in force after a minute")
+		if !f.RunUntil(time.Minute, func() bool { return f.upToDate() }) {
+			b.Fatal("change not in force after 1 min")
 		}
 		force = max(force, f.Now()-began)
-		if !f.RunUntil(time.Minute, func() bool { done, _ := f.inForce(f.members[7]); return len(done) == 1 }) {
-			b.Fatal("not confirmed after a minute")
+		if !f.RunUntil(time.Minute, func() bool { done, _ := f.confirmedDomains(f.members[7]); return len(done) == 1 }) {
+			b.Fatal("change not confirmed after 1 min")
 		}
 		confirmed = max(confirmed, f.Now()-began)
 		f.Run(3 * time.Second)
--- a/core/node/tick_test.go
+++ b/core/node/tick_test.go
@@ -9,29 +9,29 @@
 	"coltsfootward/core/node"
 )
 
-// Guards against a node at rest that wakes up a hundred times a second.
-func TestNodeAtRestIsWokenSeldom(t *testing.T) {
+// Guards against an idle node that wakes up a hundred times a second.
+func TestIdleNodeTicksSeldom(t *testing.T) {
 	s := newRoutedSingle(t)
 	if wait := s.node.NextTick(); wait < 50*time.Millisecond {
-		t.Errorf("got a tick after %s at rest, want at most 20 a second", wait)
+		t.Errorf("got a tick interval of %s when idle, want at most 20 ticks a second", wait)
 	}
 	s.arrive(1, coltsfootward.PriorityNormal)
 	if wait := s.node.NextTick(); wait < 50*time.Millisecond {
-		t.Errorf("got a tick after %s with one request in service, want at most 20 a second", wait)
+		t.Errorf("got a tick interval of %s with one request in service, want at most 20 ticks a second", wait)
 	}
 	s.arrive(2, coltsfootward.PriorityNormal)
 	if wait := s.node.NextTick(); wait > 10*time.Millisecond {
-		t.Errorf("got a tick after %s with a request in the queue, want one within 10 ms", wait)
+		t.Errorf("got a tick interval of %s with a queued request, want at most 10 ms", wait)
 	}
 	s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchAnswered})
 	s.handle(node.DispatchEnded{Call: 2, Kind: node.DispatchAnswered})
 	if wait := s.node.NextTick(); wait < 50*time.Millisecond {
-		t.Errorf("got a tick after %s once all were served, want at most 20 a second", wait)
+		t.Errorf("got a tick interval of %s after all requests were served, want at most 20 ticks a second", wait)
 	}
 }
 
-// newRoutedSingle returns a node of a routed deployment whose backend server of the
-// service quotes has one slot.
+// newRoutedSingle returns a node of a routed deployment whose backend server,
+// of the service "quotes", has one slot.
 func newRoutedSingle(t *testing.T) *single {
 	t.Helper()
 	options := node.Options{
