--- a/core/node/assigned_slots.go
+++ b/core/node/assigned_slots.go
@@ -13,93 +13,100 @@
 )
 
 const (
-	// assignInterval is the time between two looks at who holds which slot. A
-	// holder that has stopped is replaced within this time of the news.
-	assignInterval = 200 * time.Millisecond
-	// isolatedHold is how long a node that hears nobody of its domain goes on
-	// granting. It is below the time after which the others hold a silent member
-	// for gone and take its slots over, so the part of a node that is cut off is
-	// granted by one node at a time.
-	isolatedHold = 4 * time.Second
-	// resumeWait is how long a node that was cut off waits before it grants again.
-	// Whoever took its slots over hears of its return meanwhile and stops.
-	resumeWait = time.Second
-	// aloneWait is how long a node that has started waits for the others of its
-	// domain before it takes it that there are none. Nodes that start together
-	// would else each grant the whole domain's part.
-	aloneWait = 5 * time.Second
+	// assignmentInterval is the time between two computations of the slots'
+	// holders. A failed holder is replaced within this time after its failure
+	// is known.
+	assignmentInterval = 200 * time.Millisecond
+	// isolationTimeout is how long a node continues to grant without receiving
+	// a message from its failure domain. It is shorter than the time after
+	// which the other nodes consider a silent member failed and take its slots
+	// over. The parts of an isolated node are therefore granted by one node at
+	// a time.
+	isolationTimeout = 4 * time.Second
+	// resumeDelay is how long a node waits before it grants again after it was
+	// isolated. Within this time, the nodes that took its slots over learn of
+	// its return and stop granting.
+	resumeDelay = time.Second
+	// soloStartDelay is how long a starting node waits for others in its
+	// failure domain before it assumes that there are none. Without the delay,
+	// nodes that start together would each grant all parts of the domain.
+	soloStartDelay = 5 * time.Second
 )
 
-// assignedSlots gives each slot to one node by the roster of its failure domain
-// alone, without a lease: for platforms on which a lease's term would outlast
-// the time in which a restarted fleet must serve again.
+// assignedSlots assigns each slot to one node from the roster of its failure
+// domain alone, without a lease. It is for platforms where the term of a lease
+// would be longer than the time within which a restarted deployment must serve
+// again.
 //
-// Two nodes may hold a slot while their rosters differ. The guards keep that
-// short: a holder starts with empty buckets, also after it was cut off, and a node
-// that hears nobody stops before the others take its slots over.
+// Two nodes may hold the same slot while their rosters differ. Two rules keep
+// this period short: a holder starts with empty buckets, also after it was
+// isolated, and a node that receives no messages stops granting before the
+// others take its slots over.
 type assignedSlots struct {
-	node    *Node
-	began   time.Duration
-	holders []coltsfootward.Instance
-	terms   []slotTerm
-	epoch   uint64
-	next    time.Duration
-	// heard is when another member of the domain was last heard, by
-	// Instant.Monotonic; met says whether one ever was.
-	heard time.Duration
-	met   bool
-	// resumes is when a node that was cut off may grant again.
-	resumes time.Duration
-	// stopped is set while the node holds slots and may not grant.
+	node      *Node
+	started   time.Duration
+	holders   []coltsfootward.Instance
+	terms     []slotTerm
+	epoch     uint64
+	nextCheck time.Duration
+	// lastSeen is when a message from another member of the domain last
+	// arrived, by Instant.Monotonic. peerSeen is set once any has arrived.
+	lastSeen time.Duration
+	peerSeen bool
+	// resumeAt is when a node that was isolated may grant again.
+	resumeAt time.Duration
+	// stopped is set while the node holds slots but may not grant.
 	stopped bool
-	// seen is the state of the roster that the holders follow from.
-	seen uint64
-	// foreign remembers the holders of other domains' slots until the roster changes.
-	foreign map[slotID]coltsfootward.Instance
+	// rosterChanges is the roster's change count for which the holders were
+	// computed.
+	rosterChanges uint64
+	// remoteHolders caches the holders of other failure domains' slots until
+	// the roster changes.
+	remoteHolders map[slotID]coltsfootward.Instance
 }
 
 func newAssignedSlots(n *Node) *assignedSlots {
 	return &assignedSlots{
-		node:    n,
-		began:   n.now.Monotonic,
-		holders: make([]coltsfootward.Instance, n.options.Slots),
-		terms:   make([]slotTerm, n.options.Slots),
-		foreign: make(map[slotID]coltsfootward.Instance),
+		node:          n,
+		started:       n.now.Monotonic,
+		holders:       make([]coltsfootward.Instance, n.options.Slots),
+		terms:         make([]slotTerm, n.options.Slots),
+		remoteHolders: make(map[slotID]coltsfootward.Instance),
 	}
 }
 
 func (s *assignedSlots) count() int { return s.node.options.Slots }
 
-func (s *assignedSlots) own() []slotID { return ownSlots(s.node) }
+func (s *assignedSlots) localSlots() []slotID { return localSlots(s.node) }
 
-func (s *assignedSlots) heardFrom(instance coltsfootward.Instance) {
+func (s *assignedSlots) messageReceived(instance coltsfootward.Instance) {
 	if instance.Domain != s.node.options.Self.Domain {
 		return
 	}
 	now := s.node.now.Monotonic
-	if s.met && now-s.heard >= isolatedHold {
-		s.resumes = now + resumeWait
+	if s.peerSeen && now-s.lastSeen >= isolationTimeout {
+		s.resumeAt = now + resumeDelay
 	}
-	s.heard = now
-	s.met = true
+	s.lastSeen = now
+	s.peerSeen = true
 }
 
 func (s *assignedSlots) tick() {
 	now := s.node.now.Monotonic
-	if now < s.next {
+	if now < s.nextCheck {
 		return
 	}
-	s.next = now + assignInterval
-	resumed := s.resumed()
+	s.nextCheck = now + assignmentInterval
+	resumed := s.checkResumed()
 	changes := s.node.membership.machine.Changes()
-	if changes == s.seen && !resumed {
+	if changes == s.rosterChanges && !resumed {
 		return
 	}
-	s.seen = changes
-	clear(s.foreign)
-	roster := s.running(s.node.options.Self.Domain)
+	s.rosterChanges = changes
+	clear(s.remoteHolders)
+	roster := s.runningMembers(s.node.options.Self.Domain)
 	for i := range s.holders {
-		holder := firstFor(slotID{domain: s.node.options.Self.Domain, index: i}, roster)
+		holder := assignedHolder(slotID{domain: s.node.options.Self.Domain, index: i}, roster)
 		mine := holder.ID == s.node.options.Self.ID
 		if mine && (resumed || s.holders[i].ID != holder.ID) {
 			s.epoch++
@@ -109,18 +116,19 @@
 	}
 }
 
-// resumed reports whether the node may grant again after it had to stop. Others
-// have granted from its slots meanwhile, so it begins anew.
-func (s *assignedSlots) resumed() bool {
-	stopped := s.met && !s.ready()
+// checkResumed updates stopped and reports whether the node may grant again
+// after it had to stop. Other nodes may have granted for its slots in the
+// meantime, so the caller starts new epochs.
+func (s *assignedSlots) checkResumed() bool {
+	stopped := s.peerSeen && !s.mayGrant()
 	resumed := s.stopped && !stopped
 	s.stopped = stopped
 	return resumed
 }
 
-// firstFor returns the instance that holds a slot: the first by rendezvous
-// hashing, so that few slots move when members come and go.
-func firstFor(id slotID, members []coltsfootward.Instance) coltsfootward.Instance {
+// assignedHolder returns the member that holds a slot. It is chosen by
+// rendezvous hashing, so that few slots move when members join or leave.
+func assignedHolder(id slotID, members []coltsfootward.Instance) coltsfootward.Instance {
 	if len(members) == 0 {
 		return coltsfootward.Instance{}
 	}
@@ -133,22 +141,25 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d/%s", id.domain, id.index, member))
 }
 
-// ready reports whether the node may grant: it knows who else is in its domain,
-// or that nobody is, and has heard one of them lately.
-func (s *assignedSlots) ready() bool {
+// mayGrant reports whether the node may grant. Either it has received a message
+// from another node of its failure domain within isolationTimeout and resumeAt
+// has passed, or no other node runs there. A starting node waits for
+// soloStartDelay before it assumes that it is alone.
+func (s *assignedSlots) mayGrant() bool {
 	now := s.node.now.Monotonic
-	if !s.met {
-		return now-s.began >= aloneWait && len(s.running(s.node.options.Self.Domain)) <= 1
+	if !s.peerSeen {
+		return now-s.started >= soloStartDelay && len(s.runningMembers(s.node.options.Self.Domain)) <= 1
 	}
-	return now-s.heard < isolatedHold && now >= s.resumes || len(s.running(s.node.options.Self.Domain)) <= 1
+	return now-s.lastSeen < isolationTimeout && now >= s.resumeAt || len(s.runningMembers(s.node.options.Self.Domain)) <= 1
 }
 
-// term returns this node's term of a slot of its domain, if it holds it now.
+// term returns this node's term of a slot in its failure domain if it holds the
+// slot now.
 func (s *assignedSlots) term(id slotID) (slotTerm, bool) {
 	if id.domain != s.node.options.Self.Domain || id.index < 0 || id.index >= len(s.holders) {
 		return slotTerm{}, false
 	}
-	if s.holders[id.index].ID != s.node.options.Self.ID || s.stopped || !s.ready() {
+	if s.holders[id.index].ID != s.node.options.Self.ID || s.stopped || !s.mayGrant() {
 		return slotTerm{}, false
 	}
 	return s.terms[id.index], true
@@ -159,16 +170,17 @@
 		holder := s.holders[min(id.index, len(s.holders)-1)]
 		return holder, holder.ID != ""
 	}
-	holder, ok := s.foreign[id]
+	holder, ok := s.remoteHolders[id]
 	if !ok {
-		holder = firstFor(id, s.running(id.domain))
-		s.foreign[id] = holder
+		holder = assignedHolder(id, s.runningMembers(id.domain))
+		s.remoteHolders[id] = holder
 	}
 	return holder, holder.ID != ""
 }
 
-// running lists the members of a domain that are not known to be gone.
-func (s *assignedSlots) running(domain coltsfootward.FailureDomain) []coltsfootward.Instance {
+// runningMembers lists the members of a failure domain that are not considered
+// failed.
+func (s *assignedSlots) runningMembers(domain coltsfootward.FailureDomain) []coltsfootward.Instance {
 	var members []coltsfootward.Instance
 	for _, member := range s.node.membership.machine.Serving(domain) {
 		if member.State != message.MemberGone {
@@ -178,13 +190,13 @@
 	return members
 }
 
-func (s *assignedSlots) known(id slotID) coltsfootward.Instance {
+func (s *assignedSlots) lastKnownHolder(id slotID) coltsfootward.Instance {
 	if id.domain != s.node.options.Self.Domain || id.index < 0 || id.index >= len(s.holders) {
 		return coltsfootward.Instance{}
 	}
 	return s.holders[id.index]
 }
 
-func (s *assignedSlots) elsewhere(slotID, coltsfootward.Instance) {}
+func (s *assignedSlots) noteHolder(slotID, coltsfootward.Instance) {}
 
-func (s *assignedSlots) released() []releasedSlot { return nil }
+func (s *assignedSlots) takeReleased() []releasedSlot { return nil }
--- a/core/node/bucket.go
+++ b/core/node/bucket.go
@@ -6,34 +6,36 @@
 	"coltsfootward/core/rate"
 )
 
-// bucketID names the bucket of one part at the holder of its slot.
+// bucketID identifies the bucket that a slot's holder keeps for one
+// organisation's part.
 type bucketID struct {
 	slot         int
 	organisation coltsfootward.OrganisationName
 }
 
-// heldBucket is a bucket that this node keeps for one epoch of the slot.
+// heldBucket is a bucket of a slot that this node holds, valid for one epoch of
+// the slot.
 type heldBucket struct {
 	bucket *rate.Bucket
 	epoch  uint64
 	part   rate.Part
 }
 
-// drawn answers another node's draw.
-func (p *ratePart) drawn(m message.Draw) {
+// drawReceived answers another node's draw.
+func (p *ratePart) drawReceived(m message.Draw) {
 	p.refresh()
 	grant := p.grant(m)
 	p.node.act(Send{To: m.From, Message: &grant})
 }
 
 // grant draws from the bucket of a slot that this node holds. The lease is
-// checked here, in the step that takes the tokens: a node that was paused
-// finds itself lapsed and grants nothing.
+// checked in the same step that takes the tokens, so that a node that was
+// paused notices that its lease has expired and grants nothing.
 func (p *ratePart) grant(m message.Draw) message.Grant {
 	id := slotID{domain: m.Domain, index: m.Slot}
 	term, ok := p.node.slots.term(id)
 	if !ok {
-		return message.Grant{ID: m.ID, Ask: p.node.slots.known(id)}
+		return message.Grant{ID: m.ID, Ask: p.node.slots.lastKnownHolder(id)}
 	}
 	g := p.bucket(m.Organisation, m.Slot, term).Draw(p.node.now, m.Need, m.Ahead)
 	return message.Grant{
@@ -42,7 +44,7 @@
 	}
 }
 
-// bucket returns the bucket of an organisation's part in a slot that is held.
+// bucket returns the bucket of an organisation's part in a held slot.
 func (p *ratePart) bucket(organisation coltsfootward.OrganisationName, index int, term slotTerm) *rate.Bucket {
 	a, ok := p.accounts[organisation]
 	if !ok {
@@ -62,21 +64,24 @@
 	return held.bucket
 }
 
-// newBucket returns the bucket at its first use in an epoch. It starts empty
-// unless nobody can have drawn from the part before: if no holder granted anything,
-// or if the organisation was created so long after the epoch's begin that no
-// earlier holder knew it. After a change that moved shares between parts it is
-// empty too: what the part gains was another's, and may have been drawn there.
+// newBucket returns the bucket for its first use in an epoch. The bucket starts
+// empty, because an earlier holder may have granted tokens from the part. It
+// starts full only if that is impossible: the slot had no earlier holder, or
+// the organisation was created so long after the start of the epoch that no
+// earlier holder knew it. After a change that moved tokens between parts it
+// starts empty as well, since the share that a part gains may have been granted
+// at another part.
 func (p *ratePart) newBucket(a *account, term slotTerm, part rate.Part) *rate.Bucket {
 	since := max(term.began.Monotonic, a.share.Settled())
-	unused := term.first || (a.created && a.since >= term.began.Monotonic+p.node.options.ConfigurationSpread)
+	unused := term.first || (a.creationSeen && a.firstSeen >= term.began.Monotonic+p.node.options.ConfigurationSpread)
 	if unused && a.share.Settled() == 0 {
 		return rate.NewFullBucket(part, since)
 	}
 	return rate.NewBucket(part, since)
 }
 
-// unused reports whether nothing was granted for the slot in this epoch.
+// unused reports whether this node has granted no tokens for the slot in its
+// current epoch.
 func (p *ratePart) unused(index int) bool {
 	for id := range p.buckets {
 		if id.slot == index {
--- a/core/node/configuration.go
+++ b/core/node/configuration.go
@@ -11,81 +11,87 @@
 	"coltsfootward/core/record"
 )
 
-// ChangePrefix is where the table keeps the accepted changes. The key's number
-// has a fixed width, so that rows sort by revision.
+// ChangePrefix is the key prefix under which the table stores accepted changes.
+// The revision in the key has a fixed width, so that rows sort by revision.
 const ChangePrefix = "change/"
 
-// RevisionKey is the table's row that counts accepted changes.
+// RevisionKey is the key of the row that stores the revision of the last
+// accepted change.
 const RevisionKey = "revision"
 
-// ChangeKey returns the key of the row that holds the change.
+// ChangeKey returns the key of the row that stores the change with revision r.
 func ChangeKey(r coltsfootward.Revision) string {
 	return fmt.Sprintf("%s%020d", ChangePrefix, uint64(r))
 }
 
 const (
-	// scanLimit bounds the rows of one scan.
+	// scanLimit is the maximum number of rows in one scan.
 	scanLimit = 500
-	// readers is how many nodes of a failure domain read the table. Three are
-	// seldom lost together, and 18 domains of them read 54 times a second.
-	readers = 3
-	// historyLimit is how many changes a node keeps for others, and so how far
-	// behind a node may be without needing a whole configuration: at 12,000
-	// changes a day, four hours.
+	// tableReaders is the number of nodes of a failure domain that poll the
+	// table. Three nodes rarely fail together, and in 18 failure domains they
+	// cause 54 reads per second.
+	tableReaders = 3
+	// historyLimit is the number of changes that a node keeps for its peers. A
+	// node that is further behind needs a full configuration. At 12,000 changes
+	// a day, the history covers four hours.
 	historyLimit = 2000
-	// pushLimit is how many changes are worth sending unasked. More are an
-	// older node catching up, and the others have them.
-	pushLimit = 16
-	// pushTargets is how many members of the own domain get a change unasked
-	// from each node that learns it. All but about 2 in 100 then have it within
-	// a few hops; the others see a higher revision in the next probe.
-	pushTargets = 4
-	// pullInterval is how long a node waits for changes that it asked for
+	// maxPushedChanges is the largest number of changes that are pushed to
+	// other nodes. A larger batch means that this node was catching up, and the
+	// others already have the changes.
+	maxPushedChanges = 16
+	// pushFanout is the number of members of the own failure domain to which
+	// each node pushes a change that is new to it. All but about 2 in 100
+	// members receive the change within a few hops, and the rest see the higher
+	// revision in the next probe.
+	pushFanout = 4
+	// pullInterval is how long a node waits for the changes that it requested
 	// before it asks another peer.
 	pullInterval = 300 * time.Millisecond
-	// marksLimit bounds the withdrawn keys that travel with one digest.
-	marksLimit = 16
+	// maxDigestWithdrawn is the maximum number of withdrawn keys in one digest.
+	maxDigestWithdrawn = 16
 )
 
-// configurationPart holds what is in force here. Its revision never goes down.
+// configurationPart holds the configuration in force at this node. Its revision
+// never decreases.
 type configurationPart struct {
 	node    *Node
 	current coltsfootward.Configuration
-	// history holds the latest changes up to current's revision, consecutive.
-	history  []coltsfootward.Change
-	poll     time.Duration
-	scanning bool
-	asked    bool
-	pulled   time.Duration
-	marks    keyMarks
-	contact  contactAge
-	pages    pageCollector
-	served   servedSnapshot
+	// history holds the latest changes, consecutive up to current's revision.
+	history          []coltsfootward.Change
+	nextPoll         time.Duration
+	scanning         bool
+	refreshRequested bool
+	lastPull         time.Duration
+	withdrawn        withdrawnKeys
+	contact          contactState
+	pages            pageCollector
+	served           servedSnapshot
 }
 
 func newConfigurationPart(n *Node) *configurationPart {
-	p := &configurationPart{node: n, pulled: n.now.Monotonic - pullInterval}
-	p.contact.began(n.now, n.options.KeyGrace)
+	p := &configurationPart{node: n, lastPull: n.now.Monotonic - pullInterval}
+	p.contact.reset(n.now, n.options.KeyGrace)
 	return p
 }
 
 func (p *configurationPart) tick() {
 	p.checkContact()
-	if p.scanning || p.node.now.Monotonic < p.poll {
+	if p.scanning || p.node.now.Monotonic < p.nextPoll {
 		return
 	}
-	p.poll = p.node.now.Monotonic + p.node.options.PollInterval
-	if p.asked || p.reads() {
+	p.nextPoll = p.node.now.Monotonic + p.node.options.PollInterval
+	if p.refreshRequested || p.shouldReadTable() {
 		p.refresh()
 	}
 }
 
-// reads reports whether this node is to read the table now. Besides the domain's
-// readers, one other node of the domain a second does so while the readers
-// bring no news of the table: their own way to it may be cut.
-func (p *configurationPart) reads() bool {
+// shouldReadTable reports whether this node must read the table now. Besides
+// the failure domain's readers, about one in all running nodes per poll
+// interval reads it while the readers report no successful read, because their
+// connection to the table may be broken.
+func (p *configurationPart) shouldReadTable() bool {
 	m := p.node.membership.machine
-	if m.Rank(readers) >= 0 {
+	if m.Rank(tableReaders) >= 0 {
 		return true
 	}
 	if p.contact.tableAge(p.node.now) < 5*p.node.options.PollInterval {
@@ -96,7 +102,7 @@
 
 func (p *configurationPart) refresh() {
 	p.scanning = true
-	p.asked = false
+	p.refreshRequested = false
 	began := p.node.now.Expiry
 	after := ChangeKey(p.current.Revision())
 	p.node.table.scan(ChangePrefix, after, scanLimit, func(rows []coltsfootward.Row, err error) {
@@ -104,7 +110,7 @@
 		if err != nil {
 			return
 		}
-		p.contact.table(began)
+		p.contact.noteTableRead(began)
 		changes := decodeChanges(rows)
 		p.apply(changes)
 		if len(changes) > 0 && changes[0].Revision > p.current.Revision()+1 {
@@ -112,8 +118,8 @@
 			return
 		}
 		if len(rows) == scanLimit {
-			p.poll = 0
-			p.asked = true
+			p.nextPoll = 0
+			p.refreshRequested = true
 		}
 	})
 }
@@ -130,15 +136,15 @@
 	return changes
 }
 
-// apply puts consecutive changes in force. A change that leaves a gap waits
-// for the missing ones: skipping one would lose it for good. The keys that it
-// withdraws stop at once all the same.
+// apply puts consecutive changes in force. Changes after a gap wait for the
+// missing ones, since a skipped change would be lost for good. Keys that they
+// withdraw are rejected immediately nevertheless.
 func (p *configurationPart) apply(changes []coltsfootward.Change) {
 	next := p.current.Revision()
 	var applied []coltsfootward.Change
 	for _, change := range changes {
 		if change.Key != nil && change.Key.Withdrawn {
-			p.mark(change.Key.Digest)
+			p.markWithdrawn(change.Key.Digest)
 		}
 		if change.Revision == next+1 {
 			next++
@@ -153,26 +159,26 @@
 	if extra := len(p.history) - historyLimit; extra > 0 {
 		p.history = slices.Clone(p.history[extra:])
 	}
-	p.inForce(applied)
+	p.configurationChanged(applied)
 	p.push(applied)
 }
 
-func (p *configurationPart) inForce(applied []coltsfootward.Change) {
-	p.node.rate.applied(applied)
+func (p *configurationPart) configurationChanged(applied []coltsfootward.Change) {
+	p.node.rate.applyChanges(applied)
 	for _, change := range applied {
 		if change.Key != nil && change.Key.Withdrawn {
 			p.node.report(record.KeyWithdrawn, field("key", change.Key.ID))
 		}
 	}
-	p.marks.settle(p.current)
+	p.withdrawn.prune(p.current)
 	p.node.report(record.RevisionInForce, field("revision", p.current.Revision().String()))
-	p.node.confirmation.advanced()
+	p.node.confirmation.scheduleConfirmation()
 }
 
-// push sends changes on to a few members, one of them in another domain,
-// whose readers may be cut off from the table.
+// push sends changes to a few members. One of them is in another failure
+// domain, whose readers may be unable to reach the table.
 func (p *configurationPart) push(changes []coltsfootward.Change) {
-	if len(changes) > pushLimit {
+	if len(changes) > maxPushedChanges {
 		return
 	}
 	for _, to := range p.pushTargets() {
@@ -182,32 +188,32 @@
 
 func (p *configurationPart) pushTargets() []coltsfootward.Instance {
 	m := p.node.membership.machine
-	targets := m.Near(p.node.options.Self.Domain, pushTargets)
+	targets := m.Near(p.node.options.Self.Domain, pushFanout)
 	domains := m.Domains()
-	foreign := domains[p.node.source.IntN(len(domains))]
-	if foreign != p.node.options.Self.Domain {
-		targets = append(targets, m.Near(foreign, 1)...)
+	remote := domains[p.node.source.IntN(len(domains))]
+	if remote != p.node.options.Self.Domain {
+		targets = append(targets, m.Near(remote, 1)...)
 	}
 	return targets
 }
 
-// own returns the digest that travels with this node's gossip.
-func (p *configurationPart) own() message.ConfigurationDigest {
+// ownDigest returns the digest that this node sends with its gossip.
+func (p *configurationPart) ownDigest() message.ConfigurationDigest {
 	return message.ConfigurationDigest{
 		Revision:  p.current.Revision(),
-		Withdrawn: p.marks.list(marksLimit),
+		Withdrawn: p.withdrawn.list(maxDigestWithdrawn),
 		TableAge:  p.contact.tableAge(p.node.now),
 
 		OutOfService: p.node.domains.current,
 	}
 }
 
-// digest takes in how far a peer is.
-func (p *configurationPart) digest(e MessageArrived, m message.ConfigurationDigest) {
-	p.contact.table(p.node.now.Expiry - e.Age - max(m.TableAge, 0))
+// digestReceived processes a peer's digest.
+func (p *configurationPart) digestReceived(e MessageArrived, m message.ConfigurationDigest) {
+	p.contact.noteTableRead(p.node.now.Expiry - e.Age - max(m.TableAge, 0))
 	p.node.domains.adopt(m.OutOfService)
 	for _, digest := range m.Withdrawn {
-		p.mark(digest)
+		p.markWithdrawn(digest)
 	}
 	if m.Revision > p.current.Revision() {
 		p.pullFrom(e.From)
@@ -216,10 +222,10 @@
 
 func (p *configurationPart) pullFrom(peer coltsfootward.InstanceID) {
 	now := p.node.now.Monotonic
-	if now-p.pulled < pullInterval {
+	if now-p.lastPull < pullInterval {
 		return
 	}
-	p.pulled = now
+	p.lastPull = now
 	p.send(peer, &message.ConfigurationPull{After: p.current.Revision()})
 }
 
@@ -229,7 +235,7 @@
 	}
 }
 
-func (p *configurationPart) pull(from coltsfootward.InstanceID, m message.ConfigurationPull) {
+func (p *configurationPart) pullReceived(from coltsfootward.InstanceID, m message.ConfigurationPull) {
 	if m.After >= p.current.Revision() {
 		return
 	}
@@ -246,26 +252,27 @@
 	p.send(from, &message.ConfigurationChanges{Changes: boundedChanges(newer)})
 }
 
-func (p *configurationPart) changes(from coltsfootward.InstanceID, m message.ConfigurationChanges) {
+func (p *configurationPart) changesReceived(from coltsfootward.InstanceID, m message.ConfigurationChanges) {
 	before := p.current.Revision()
 	p.apply(m.Changes)
 	if len(m.Changes) == 0 {
 		return
 	}
 	last := m.Changes[len(m.Changes)-1].Revision
-	if last > p.current.Revision() || p.current.Revision() > before && len(m.Changes) > pushLimit {
-		p.pulled = p.node.now.Monotonic - pullInterval
+	if last > p.current.Revision() || p.current.Revision() > before && len(m.Changes) > maxPushedChanges {
+		p.lastPull = p.node.now.Monotonic - pullInterval
 		p.pullFrom(from)
 	}
 }
 
-// Configuration returns what is in force at this node.
+// Configuration returns the configuration in force at this node.
 func (n *Node) Configuration() coltsfootward.Configuration {
 	return n.configuration.current
 }
 
-// Refresh reads the configuration at the next tick instead of at the next poll.
+// Refresh makes the node read configuration changes at the next tick instead of
+// at the next poll.
 func (n *Node) Refresh() {
-	n.configuration.poll = 0
-	n.configuration.asked = true
+	n.configuration.nextPoll = 0
+	n.configuration.refreshRequested = true
 }
--- a/core/node/confirmation.go
+++ b/core/node/confirmation.go
@@ -12,93 +12,104 @@
 )
 
 const (
-	// relayCount is how many members of a large domain gather confirmations
-	// for its collector, so that 1,333 of them reach it as 32 messages.
+	// relayCount is the number of relays in a large failure domain. They
+	// combine the members' confirmations for the collector, so that 1,333
+	// confirmations reach it as 32 messages.
 	relayCount = 32
-	// directLimit is the size of a domain up to which confirmations go straight
-	// to the collector.
+	// directLimit is the size from which a failure domain uses relays. In
+	// smaller failure domains, confirmations go directly to the collector.
 	directLimit = 2 * relayCount
-	// relayDelay is how long a relay gathers before it passes on.
+	// relayDelay is how long a relay collects confirmations before it forwards
+	// them.
 	relayDelay = 500 * time.Millisecond
-	// confirmDelay spreads the confirmations of one change.
-	confirmDelay = 200 * time.Millisecond
-	// queryInterval is the time between two questions about a change that an
-	// operator waits for.
+	// maxConfirmDelay is the interval over which the members' confirmations of
+	// a change are spread.
+	maxConfirmDelay = 200 * time.Millisecond
+	// queryInterval is the time between two queries for a revision that an
+	// operator is waiting for.
 	queryInterval = 250 * time.Millisecond
-	// queryPatience is how long a node goes on asking after the operator's last
-	// question.
-	queryPatience = 30 * time.Second
-	// standInAfter is after how many questions without an answer the domain's
-	// next member is asked in place of its collector.
-	standInAfter = 4
-	// namedLimit bounds the members that an answer names as behind.
-	namedLimit = 10
-	// reminders is how many members that are behind a collector asks at each
-	// question, in case their confirmation was lost or it is new in its place.
-	reminders = 64
+	// watchTimeout is how long a node continues to send queries after the
+	// operator's last request.
+	watchTimeout = 30 * time.Second
+	// fallbackAfter is the number of unanswered queries after which the second
+	// member of a failure domain is queried in turn with its collector.
+	fallbackAfter = 4
+	// maxNamedMembers bounds the outdated members that an answer lists by name.
+	maxNamedMembers = 10
+	// maxReminders bounds the outdated members from which a collector requests
+	// a confirmation at each query. Their confirmation may have been lost, or
+	// the collector may be new in its role.
+	maxReminders = 64
 )
 
-// confirmationPart finds out where a revision is in force. Each failure domain
-// has a collector, its first member in the order that all nodes share. Members
-// confirm to it, and whichever node an operator asks puts its question there.
+// confirmationPart determines where a revision is in force. Each failure domain
+// has a collector: the first member in an order that all nodes share. Members
+// send their confirmations to the collector, and the node that serves an
+// operator's request queries the collectors.
 //
-// A collector that has just started may know only a few of its domain, and would
-// speak for those alone. So it says for how many it speaks, and an answer for
-// fewer than the asker knows of does not count.
+// A collector that has just started may know only a few members of its failure
+// domain and would answer for those alone. Answers therefore contain the number
+// of members they cover, and an answer that covers fewer members than the
+// querying node knows is ignored.
 type confirmationPart struct {
 	node *Node
-	// confirmed holds what members of the own domain have in force.
+	// confirmed holds the highest revision that each member of the own failure
+	// domain has confirmed.
 	confirmed map[coltsfootward.InstanceID]coltsfootward.Revision
-	// due is when this node confirms its own revision; zero means not at all.
-	due time.Duration
-	// relayed holds who confirmed which revision to this node as a relay.
-	relayed  map[coltsfootward.Revision][]coltsfootward.InstanceID
-	relayDue time.Duration
+	// confirmAt is when this node confirms its own revision; zero means that no
+	// confirmation is due.
+	confirmAt time.Duration
+	// pendingRelay holds, by revision, the members whose confirmations this
+	// node will forward as a relay.
+	pendingRelay map[coltsfootward.Revision][]coltsfootward.InstanceID
+	relayAt      time.Duration
 
-	// asked is what an operator waits for, until the time watching.
-	asked    coltsfootward.Revision
-	watching time.Duration
-	next     time.Duration
-	// attempts counts questions to each domain since its last answer.
-	attempts map[coltsfootward.FailureDomain]int
-	answers  map[coltsfootward.FailureDomain]message.DomainConfirmation
+	// watchedRevision is the revision that an operator waits for. Queries stop
+	// at watchUntil.
+	watchedRevision coltsfootward.Revision
+	watchUntil      time.Duration
+	nextQuery       time.Duration
+	// unanswered counts the queries to each failure domain since its last
+	// answer.
+	unanswered map[coltsfootward.FailureDomain]int
+	answers    map[coltsfootward.FailureDomain]message.DomainConfirmation
 }
 
 func newConfirmationPart(n *Node) *confirmationPart {
 	return &confirmationPart{
-		node:      n,
-		confirmed: make(map[coltsfootward.InstanceID]coltsfootward.Revision),
-		relayed:   make(map[coltsfootward.Revision][]coltsfootward.InstanceID),
-		attempts:  make(map[coltsfootward.FailureDomain]int),
-		answers:   make(map[coltsfootward.FailureDomain]message.DomainConfirmation),
+		node:         n,
+		confirmed:    make(map[coltsfootward.InstanceID]coltsfootward.Revision),
+		pendingRelay: make(map[coltsfootward.Revision][]coltsfootward.InstanceID),
+		unanswered:   make(map[coltsfootward.FailureDomain]int),
+		answers:      make(map[coltsfootward.FailureDomain]message.DomainConfirmation),
 	}
 }
 
-// forget drops what an earlier run of an instance confirmed: a later one starts
-// with nothing.
-func (p *confirmationPart) forget(id coltsfootward.InstanceID) {
+// forgetMember drops the confirmation of an earlier run of an instance, because
+// a restarted instance begins without a configuration.
+func (p *confirmationPart) forgetMember(id coltsfootward.InstanceID) {
 	delete(p.confirmed, id)
 }
 
-// advanced notes that this node has a new revision in force.
-func (p *confirmationPart) advanced() {
-	if p.due == 0 {
-		p.due = p.node.now.Monotonic + time.Duration(p.node.source.Int64N(int64(confirmDelay)))
+// scheduleConfirmation schedules the confirmation of a new revision.
+func (p *confirmationPart) scheduleConfirmation() {
+	if p.confirmAt == 0 {
+		p.confirmAt = p.node.now.Monotonic + time.Duration(p.node.source.Int64N(int64(maxConfirmDelay)))
 	}
 }
 
 func (p *confirmationPart) tick() {
 	now := p.node.now.Monotonic
-	if p.due != 0 && now >= p.due {
-		p.due = 0
+	if p.confirmAt != 0 && now >= p.confirmAt {
+		p.confirmAt = 0
 		p.confirm()
 	}
-	if len(p.relayed) > 0 && now >= p.relayDue {
+	if len(p.pendingRelay) > 0 && now >= p.relayAt {
 		p.relay()
 	}
-	if now < p.watching && now >= p.next {
-		p.next = now + queryInterval
-		p.ask()
+	if now < p.watchUntil && now >= p.nextQuery {
+		p.nextQuery = now + queryInterval
+		p.sendQueries()
 	}
 }
 
@@ -109,7 +120,8 @@
 	}
 }
 
-// confirmTo returns the collector, or this node's relay in a large domain.
+// confirmTo returns the instance to send confirmations to: the collector, or
+// this node's relay in a large failure domain.
 func (p *confirmationPart) confirmTo() (coltsfootward.Instance, bool) {
 	self := p.node.options.Self
 	first := p.node.membership.machine.First(self.Domain, directLimit)
@@ -122,8 +134,8 @@
 	return first[1+xxhash.Sum64String(string(self.ID))%relayCount], true
 }
 
-// received takes in confirmations. A relay passes them on once.
-func (p *confirmationPart) received(from coltsfootward.InstanceID, m message.Confirmation) {
+// confirmationReceived records confirmations. A relay forwards them once.
+func (p *confirmationPart) confirmationReceived(from coltsfootward.InstanceID, m message.Confirmation) {
 	members := m.Members
 	if len(members) == 0 {
 		members = []coltsfootward.InstanceID{from}
@@ -134,33 +146,36 @@
 	if len(m.Members) > 0 || p.collector(p.node.options.Self.Domain, 0).ID == p.node.options.Self.ID {
 		return
 	}
-	if len(p.relayed) == 0 {
-		p.relayDue = p.node.now.Monotonic + relayDelay
+	if len(p.pendingRelay) == 0 {
+		p.relayAt = p.node.now.Monotonic + relayDelay
 	}
-	p.relayed[m.Revision] = append(p.relayed[m.Revision], from)
+	p.pendingRelay[m.Revision] = append(p.pendingRelay[m.Revision], from)
 }
 
 func (p *confirmationPart) relay() {
 	to := p.collector(p.node.options.Self.Domain, 0)
-	for _, revision := range slices.Sorted(maps.Keys(p.relayed)) {
+	for _, revision := range slices.Sorted(maps.Keys(p.pendingRelay)) {
 		if to.ID != "" {
-			p.node.act(Send{To: to, Message: &message.Confirmation{Revision: revision, Members: p.relayed[revision]}})
+			p.node.act(Send{To: to, Message: &message.Confirmation{Revision: revision, Members: p.pendingRelay[revision]}})
 		}
 	}
-	clear(p.relayed)
+	clear(p.pendingRelay)
 }
 
-// collector returns the domain's member of that place in the common order.
-func (p *confirmationPart) collector(domain coltsfootward.FailureDomain, place int) coltsfootward.Instance {
-	first := p.node.membership.machine.First(domain, place+1)
-	if len(first) <= place {
+// collector returns the failure domain's member at the given position in the
+// common order; position 0 is the collector. The instance is empty if there is
+// no such member.
+func (p *confirmationPart) collector(domain coltsfootward.FailureDomain, position int) coltsfootward.Instance {
+	first := p.node.membership.machine.First(domain, position+1)
+	if len(first) <= position {
 		return coltsfootward.Instance{}
 	}
-	return first[place]
+	return first[position]
 }
 
-// query answers for the whole domain or for this node alone.
-func (p *confirmationPart) query(from coltsfootward.InstanceID, m message.ConfirmationQuery) {
+// queryReceived answers a query for the whole failure domain or for this node
+// alone.
+func (p *confirmationPart) queryReceived(from coltsfootward.InstanceID, m message.ConfirmationQuery) {
 	if m.Domain == "" {
 		p.node.configuration.send(from, &message.Confirmation{Revision: p.node.configuration.current.Revision()})
 		return
@@ -172,9 +187,10 @@
 	p.node.configuration.send(from, &answer)
 }
 
-// collect returns how far the own domain is and reminds those that are behind.
-// Members that are gone do not count: they serve nobody, and when they return
-// they take the highest revision that their peers hold.
+// collect returns the confirmation state of the own failure domain and requests
+// confirmations from outdated members. Members that are gone do not count: they
+// serve no requests, and when they return they adopt the highest revision that
+// their peers hold.
 func (p *confirmationPart) collect(asked coltsfootward.Revision) message.DomainConfirmation {
 	self := p.node.options.Self
 	answer := message.DomainConfirmation{Domain: self.Domain, Asked: asked, Revision: p.node.configuration.current.Revision()}
@@ -193,10 +209,10 @@
 		if revision >= asked {
 			continue
 		}
-		if len(answer.Behind) < namedLimit {
+		if len(answer.Behind) < maxNamedMembers {
 			answer.Behind = append(answer.Behind, id)
 		}
-		if reminded < reminders && id != self.ID {
+		if reminded < maxReminders && id != self.ID {
 			reminded++
 			p.node.act(Send{To: member.Announcement.Instance, Message: &message.ConfirmationQuery{Revision: asked}})
 		}
@@ -204,32 +220,33 @@
 	return answer
 }
 
-// ask puts the operator's question to the collector of each domain that has not
-// confirmed yet.
-func (p *confirmationPart) ask() {
+// sendQueries queries the collector of each failure domain that has not
+// confirmed the watched revision yet.
+func (p *confirmationPart) sendQueries() {
 	for _, domain := range p.domains() {
-		if p.answers[domain].Revision >= p.asked {
+		if p.answers[domain].Revision >= p.watchedRevision {
 			continue
 		}
-		p.attempts[domain]++
-		place := 0
-		if p.attempts[domain] > standInAfter {
-			place = p.attempts[domain] % 2
+		p.unanswered[domain]++
+		position := 0
+		if p.unanswered[domain] > fallbackAfter {
+			position = p.unanswered[domain] % 2
 		}
-		to := p.collector(domain, place)
+		to := p.collector(domain, position)
 		if to.ID == p.node.options.Self.ID {
-			p.answered(p.collect(p.asked))
+			p.answerReceived(p.collect(p.watchedRevision))
 			continue
 		}
 		if to.ID != "" {
-			p.node.act(Send{To: to, Message: &message.ConfirmationQuery{Revision: p.asked, Domain: domain}})
+			p.node.act(Send{To: to, Message: &message.ConfirmationQuery{Revision: p.watchedRevision, Domain: domain}})
 		}
 	}
 }
 
-// domains lists those that have members or, as far as this node has read the
-// table, contacts: a domain that was cut off before this node ever heard of it
-// still has to confirm. One whose members have all left or gone has not.
+// domains lists the failure domains that must confirm. These are the domains
+// with members, and those with contacts in the table as last read by this node,
+// because a domain may have been unreachable since before this node started.
+// Domains whose members have all left or failed are excluded.
 func (p *confirmationPart) domains() []coltsfootward.FailureDomain {
 	m := p.node.membership
 	all := slices.Concat(m.machine.Domains(), m.contactDomains)
@@ -240,12 +257,13 @@
 	})
 }
 
-// answered keeps the highest answer: a domain never goes back.
-func (p *confirmationPart) answered(m message.DomainConfirmation) {
-	if m.Members < p.running(m.Domain) {
+// answerReceived stores a failure domain's answer unless an earlier one is
+// higher: a domain's revision never decreases.
+func (p *confirmationPart) answerReceived(m message.DomainConfirmation) {
+	if m.Members < p.runningCount(m.Domain) {
 		return
 	}
-	p.attempts[m.Domain] = 0
+	p.unanswered[m.Domain] = 0
 	old, ok := p.answers[m.Domain]
 	if ok && m.Revision < old.Revision {
 		return
@@ -253,7 +271,7 @@
 	p.answers[m.Domain] = m
 }
 
-func (p *confirmationPart) running(domain coltsfootward.FailureDomain) int {
+func (p *confirmationPart) runningCount(domain coltsfootward.FailureDomain) int {
 	count := 0
 	for _, member := range p.node.membership.roster(domain) {
 		if member.State != message.MemberGone {
@@ -263,47 +281,48 @@
 	return count
 }
 
-// DomainRevision says how far the configuration is in force in a failure domain.
+// DomainRevision is the revision in force in a failure domain.
 type DomainRevision struct {
 	Domain coltsfootward.FailureDomain
-	// Revision is the lowest that an instance of the domain has confirmed; zero
-	// if nobody in the domain has answered yet.
+	// Revision is the lowest revision among the domain's running instances, or
+	// zero if the domain has not answered yet.
 	Revision coltsfootward.Revision
-	// Behind names some of the instances below the revision asked for.
+	// Behind lists some of the instances that have not confirmed the requested
+	// revision.
 	Behind []coltsfootward.InstanceID
 }
 
-// InForce returns for each failure domain how far it has confirmed revision r,
-// as far as this node has heard, and has the node ask. Ask again to learn more.
-// A domain that cannot be reached stays behind; an instance that is gone, by
-// the word of its own domain, holds nothing up.
+// InForce returns the last known state of revision r in each failure domain,
+// and makes the node query the domains. Call it again for newer results. An
+// unreachable failure domain remains unconfirmed. An instance that its own
+// failure domain considers gone does not delay the confirmation.
 func (n *Node) InForce(r coltsfootward.Revision) []DomainRevision {
 	p := n.confirmation
-	if r > p.asked {
-		p.asked = r
-		p.next = 0
+	if r > p.watchedRevision {
+		p.watchedRevision = r
+		p.nextQuery = 0
 	}
-	p.watching = n.now.Monotonic + queryPatience
-	var found []DomainRevision
+	p.watchUntil = n.now.Monotonic + watchTimeout
+	var revisions []DomainRevision
 	for _, domain := range p.domains() {
 		answer := p.answers[domain]
 		d := DomainRevision{Domain: domain, Revision: answer.Revision}
 		if answer.Revision < r {
 			d.Behind = p.behind(domain, answer)
 		}
-		found = append(found, d)
+		revisions = append(revisions, d)
 	}
-	return found
+	return revisions
 }
 
-// behind names those a domain waits for; of one that has not answered, its
-// first members.
+// behind lists instances that a failure domain waits for. For a domain that has
+// not answered these are its first members.
 func (p *confirmationPart) behind(domain coltsfootward.FailureDomain, answer message.DomainConfirmation) []coltsfootward.InstanceID {
 	if len(answer.Behind) > 0 {
 		return answer.Behind
 	}
 	var named []coltsfootward.InstanceID
-	for _, instance := range p.node.membership.machine.First(domain, namedLimit) {
+	for _, instance := range p.node.membership.machine.First(domain, maxNamedMembers) {
 		named = append(named, instance.ID)
 	}
 	return named
--- a/core/node/document.go
+++ b/core/node/document.go
@@ -8,38 +8,43 @@
 	"coltsfootward/core/record"
 )
 
-// DocumentDuty says what a node is to do about the operators' document now.
+// DocumentDuty is what a node must currently do about the configuration
+// document that operators store on the platform.
 type DocumentDuty string
 
-// The duties.
+// The values of DocumentDuty.
 const (
-	// DocumentNone leaves the document to others, who bring each new one.
+	// DocumentNone means that the node does not read the document; its peers
+	// send it each new version.
 	DocumentNone DocumentDuty = "none"
-	// DocumentAwaited says that there is no document yet and that others are expected
-	// to bring it.
+	// DocumentAwaited means that the node has no document yet and expects it
+	// from its peers.
 	DocumentAwaited DocumentDuty = "awaited"
-	// DocumentRead asks for one read: nobody has brought the document yet.
+	// DocumentRead means that the node must read the document once, because no
+	// peer has sent it.
 	DocumentRead DocumentDuty = "read"
-	// DocumentFollow asks to follow its changes.
+	// DocumentFollow means that the node must watch the document for changes.
 	DocumentFollow DocumentDuty = "follow"
 )
 
 const (
-	// documentReaders is how many nodes of a failure domain follow the document.
-	// The others are told by them or, should the platform turn all of them away,
-	// by the readers of other domains.
+	// documentReaders is the number of nodes of a failure domain that watch the
+	// document. The other nodes receive it from them. If the platform refuses
+	// all readers of a failure domain, its nodes receive the document from the
+	// readers of other domains.
 	documentReaders = 3
-	// documentPatience is how long a node that knows others waits for the
-	// document before it reads it itself, and aloneDocumentPatience how long one
-	// does that knows nobody. Both are spread by their own length, so that of
-	// nodes that start together the first to read bring it to the others.
-	documentPatience      = 1500 * time.Millisecond
-	aloneDocumentPatience = 100 * time.Millisecond
+	// documentTimeout is how long a node with peers waits for the document
+	// before it reads the document itself; soloDocumentTimeout applies to a
+	// node without peers. Both are spread over up to twice their length, so
+	// that among nodes that start together the first one to read the document
+	// sends it to the others.
+	documentTimeout     = 1500 * time.Millisecond
+	soloDocumentTimeout = 100 * time.Millisecond
 )
 
-// adopt puts a whole configuration in force if it is newer than the present
-// one, and passes it on. An older one, read late or sent by a peer that is
-// behind, changes nothing: the revision of a run never goes down.
+// adopt puts a full configuration in force if it is newer than the current one,
+// and sends it to other nodes. An older one, from a late read or from an
+// outdated peer, is ignored: the revision never decreases during a run.
 func (p *configurationPart) adopt(c coltsfootward.Configuration) {
 	if c.Revision() <= p.current.Revision() {
 		return
@@ -54,31 +59,32 @@
 	}
 }
 
-// askFirst asks a peer that was heard for the document, as long as this node has
-// none. A node that has just started has it sooner so than from the platform.
-func (p *configurationPart) askFirst(peer coltsfootward.InstanceID) {
+// requestDocument requests the document from a peer that sent a message, as
+// long as this node has none. A starting node obtains it from a peer sooner
+// than from the platform.
+func (p *configurationPart) requestDocument(peer coltsfootward.InstanceID) {
 	if p.node.options.Routed && p.current.Revision() == 0 {
 		p.pullFrom(peer)
 	}
 }
 
-// DocumentDuty returns what this node is to do about the document.
+// DocumentDuty returns what this node must currently do about the document.
 //
-// Each call to the platform is paid for, and a fleet that starts makes as many as
-// it has nodes, so a node that can have the document from its peers leaves the
-// platform alone. A platform that does not even tell the contacts is not asked
-// for the document as well.
+// Each call to the platform costs money, and a starting deployment makes as
+// many as it has nodes. A node that can obtain the document from its peers
+// therefore does not call the platform, and the document is not requested from
+// a platform that does not even return the contacts.
 func (n *Node) DocumentDuty() DocumentDuty {
 	m := n.membership
-	waited := n.now.Monotonic - m.began
+	waited := n.now.Monotonic - m.started
 	reader := m.machine.Rank(documentReaders) >= 0
 	missing := n.configuration.current.Revision() == 0
 	switch {
-	case missing && m.lonely() && (!m.scanned || waited < m.patience(aloneDocumentPatience)):
+	case missing && m.isAlone() && (!m.contactsRead || waited < m.jittered(soloDocumentTimeout)):
 		return DocumentAwaited
-	case reader && m.settled():
+	case reader && m.rankSettled():
 		return DocumentFollow
-	case missing && (reader || waited >= m.patience(documentPatience)):
+	case missing && (reader || waited >= m.jittered(documentTimeout)):
 		return DocumentRead
 	case missing:
 		return DocumentAwaited
--- a/core/node/domains.go
+++ b/core/node/domains.go
@@ -8,15 +8,15 @@
 	"coltsfootward/core/record"
 )
 
-// domainsPart knows which failure domains are out of service. Its version never
-// goes down in one run.
+// domainsPart holds the failure domains that are out of service. Its version
+// never decreases during a run.
 type domainsPart struct {
 	node    *Node
 	current coltsfootward.OutOfService
 }
 
-// adopt puts a later state in force and passes it on. Whoever misses it learns of
-// it from the next gossip, which carries the state whole.
+// adopt puts a newer state in force and sends it to a few members. Nodes that
+// miss it receive it with the next gossip, which contains the full state.
 func (p *domainsPart) adopt(o coltsfootward.OutOfService) {
 	if o.Version <= p.current.Version {
 		return
@@ -28,7 +28,7 @@
 	}
 	p.report(before)
 	p.node.upstream.domainsChanged(before)
-	own := p.node.configuration.own()
+	own := p.node.configuration.ownDigest()
 	for _, to := range p.node.configuration.pushTargets() {
 		p.node.act(Send{To: to, Message: &message.ConfigurationDigest{
 			Revision: own.Revision, TableAge: own.TableAge, OutOfService: own.OutOfService,
@@ -36,7 +36,8 @@
 	}
 }
 
-// report tells of each domain that has gone out of service or come back.
+// report reports each failure domain that has been taken out of service or
+// restored.
 func (p *domainsPart) report(before coltsfootward.OutOfService) {
 	version := field("version", strconv.FormatUint(p.current.Version, 10))
 	for _, domain := range p.current.Domains {
@@ -51,9 +52,9 @@
 	}
 }
 
-// ownOut reports whether this node's own domain is out of service.
+// ownOut reports whether this node's own failure domain is out of service.
 func (p *domainsPart) ownOut() bool { return p.current.Has(p.node.options.Self.Domain) }
 
-// OutOfService returns the failure domains that are out of service, as far as this
-// node knows.
+// OutOfService returns the failure domains that are out of service as known to
+// this node.
 func (n *Node) OutOfService() coltsfootward.OutOfService { return n.domains.current }
--- a/core/node/draw.go
+++ b/core/node/draw.go
@@ -11,106 +11,116 @@
 )
 
 const (
-	// drawTimeout is how long a draw may go unanswered before the next part is
-	// asked. It is well above a round trip between failure domains; while it
-	// runs, requests wait.
+	// drawTimeout is how long a draw may stay unanswered before the next part
+	// is tried. It is well above a round trip between failure domains. Requests
+	// wait while it runs.
 	drawTimeout = 100 * time.Millisecond
-	// silentWait is how long a part whose holder did not answer is left alone.
-	// It doubles with each failure up to silentDoublings times, so that a cut
-	// domain costs the others one stalled draw in a few seconds.
-	silentWait      = time.Second
-	silentDoublings = 3
-	// unheldWait is how long a part is left alone that nobody holds yet. Nodes that
-	// have all just started agree on the holders within a few rounds of gossip, and
-	// to look again costs next to nothing.
-	unheldWait = 50 * time.Millisecond
-	// emptyWait is the longest that an empty part is left alone: its rate may be
-	// raised, or its slot have a new holder.
-	emptyWait = time.Second
-	// stockShare is the part of a token's life, one in so many, for which
-	// demand is drawn ahead. More would often run out unspent.
-	stockShare = 4
-	// stockInterval is the least time between two draws ahead of need.
-	stockInterval = 5 * time.Millisecond
-	// drawMemory is how long a draw's late answer is still recognised.
-	drawMemory = 2 * time.Second
+	// unansweredBackoff is how long a part is not asked after its holder failed
+	// to answer. It doubles with each consecutive failure, up to
+	// maxBackoffDoublings times, so that an unreachable failure domain costs
+	// the others one stalled draw every few seconds.
+	unansweredBackoff   = time.Second
+	maxBackoffDoublings = 3
+	// unheldBackoff is how long a part without a known holder is not asked.
+	// Nodes that have all just started agree on the holders within a few rounds
+	// of gossip, and another attempt costs next to nothing.
+	unheldBackoff = 50 * time.Millisecond
+	// maxEmptyBackoff is the longest time for which an empty part is not asked:
+	// its rate may be raised in the meantime, or its slot may get a new holder.
+	maxEmptyBackoff = time.Second
+	// prefetchDivisor sets the prefetch target: the demand expected within
+	// 1/prefetchDivisor of a token's lifetime. A larger prefetch would often
+	// expire unspent.
+	prefetchDivisor = 4
+	// prefetchInterval is the minimum time between two prefetches.
+	prefetchInterval = 5 * time.Millisecond
+	// lateGrantWindow is how long after its timeout a draw's late answer is
+	// still matched.
+	lateGrantWindow = 2 * time.Second
 )
 
-// partView is what an entry node knows about one part.
+// partView is what this entry node knows about one part.
 type partView struct {
-	// asked is set once the part's holder has answered.
+	// asked is set once the part's holder has answered a draw.
 	asked bool
-	// level is how many tokens its holder had left, told when it said so, by
-	// Instant.Monotonic.
+	// level is the number of tokens that the holder last reported as left, and
+	// told the time of that report, by Instant.Monotonic.
 	level int64
 	told  time.Duration
-	// blockedUntil is when to ask again, by Instant.Monotonic.
+	// blockedUntil is the earliest time of the next draw from the part, by
+	// Instant.Monotonic.
 	blockedUntil time.Duration
-	// emptyUntil is when it will have a token, by Instant.Monotonic.
+	// emptyUntil is when the part is expected to have a token again, by
+	// Instant.Monotonic.
 	emptyUntil time.Duration
-	// failures counts draws in a row that brought no answer.
+	// failures counts consecutive unanswered draws.
 	failures int
 }
 
-// pendingDraw is a draw that was sent to another node.
+// pendingDraw is a draw that was sent to another node and is not answered yet.
 type pendingDraw struct {
 	account *account
 	slot    slotID
-	asked   coltsfootward.Instance
+	target  coltsfootward.Instance
 	need    int64
 	ahead   int64
-	// sent is when it was sent, by Instant.Expiry: tokens live from then on.
+	// sent is when the draw was sent, by Instant.Expiry. The lifetime of the
+	// granted tokens starts at this time.
 	sent time.Duration
-	// givenUp is when its answer is no longer waited for, by Instant.Monotonic.
-	givenUp   time.Duration
-	abandoned bool
+	// deadline is when the waiters stop waiting for the answer, by
+	// Instant.Monotonic.
+	deadline  time.Duration
+	timedOut  bool
 	redirects int
 }
 
-// pump draws until every waiting call has a token or no part has one.
-func (p *ratePart) pump(a *account) {
-	for a.drawing == nil {
-		p.serve(a)
-		if len(a.waiting) == 0 {
+// drawForWaiters draws tokens until every waiter has one, a draw is pending or
+// no part has a token left.
+func (p *ratePart) drawForWaiters(a *account) {
+	for a.activeDraw == nil {
+		p.serveWaiters(a)
+		if len(a.waiters) == 0 {
 			return
 		}
 		part, ok := p.choosePart(a)
 		if !ok {
-			p.refuse(a)
+			p.refuseWaiters(a)
 			return
 		}
-		a.drawing = p.draw(a, slotID{domain: part.Domain, index: part.Slot}, int64(len(a.waiting)), p.missingStock(a), 0)
+		a.activeDraw = p.draw(a, slotID{domain: part.Domain, index: part.Slot}, int64(len(a.waiters)), p.prefetchCount(a), 0)
 	}
 }
 
-// stock draws ahead of need, so that a busy organisation's requests do not
-// wait for a round trip each.
-func (p *ratePart) stock(a *account) {
+// prefetch draws tokens in advance, so that the requests of a busy organisation
+// do not each wait for a round trip.
+func (p *ratePart) prefetch(a *account) {
 	now := p.node.now
-	missing := p.missingStock(a)
-	if a.drawing != nil || missing == 0 || now.Monotonic < a.ahead {
+	missing := p.prefetchCount(a)
+	if a.activeDraw != nil || missing == 0 || now.Monotonic < a.nextPrefetch {
 		return
 	}
-	a.ahead = now.Monotonic + stockInterval
+	a.nextPrefetch = now.Monotonic + prefetchInterval
 	if part, ok := p.choosePart(a); ok {
-		a.drawing = p.draw(a, slotID{domain: part.Domain, index: part.Slot}, 0, missing, 0)
-		p.serve(a)
+		a.activeDraw = p.draw(a, slotID{domain: part.Domain, index: part.Slot}, 0, missing, 0)
+		p.serveWaiters(a)
 	}
 }
 
-// missingStock returns how many tokens to draw ahead. Below one token's worth
-// of demand nothing is drawn ahead: it would mostly run out unspent.
-func (p *ratePart) missingStock(a *account) int64 {
-	target := int64(a.demand.PerSecond(p.node.now) * a.life.Seconds() / stockShare)
-	stock := a.purse.Tokens(p.node.now)
-	if stock > target/2 {
+// prefetchCount returns how many tokens to prefetch. Nothing is prefetched if
+// the expected demand is below one token, because that token would mostly
+// expire unspent.
+func (p *ratePart) prefetchCount(a *account) int64 {
+	target := int64(a.demand.PerSecond(p.node.now) * a.tokenLifetime.Seconds() / prefetchDivisor)
+	available := a.purse.Tokens(p.node.now)
+	if available > target/2 {
 		return 0
 	}
-	return target - stock
+	return target - available
 }
 
-// choosePart returns the part to ask next: one of the own failure domain if it
-// may have tokens, else the one that last had the most.
+// choosePart returns the part to draw from next: one in this node's failure
+// domain if it may have tokens, otherwise the part with the highest reported
+// level.
 func (p *ratePart) choosePart(a *account) (rate.Part, bool) {
 	best := -1
 	var bestScore int64
@@ -136,74 +146,74 @@
 	return a.share.Current()[best], true
 }
 
-// draw asks a slot's holder. It returns the draw under way, or nil if the
-// answer is there already.
+// draw draws tokens from the holder of a slot. It returns the pending draw, or
+// nil if the outcome is known already.
 func (p *ratePart) draw(a *account, id slotID, need, ahead int64, redirects int) *pendingDraw {
 	holder, ok := p.node.slots.holder(id)
 	if !ok {
-		p.unheld(a, id)
+		p.backOffUnheld(a, id)
 		return nil
 	}
 	if holder.ID == p.node.options.Self.ID {
 		grant := p.grant(message.Draw{Organisation: a.name, Domain: id.domain, Slot: id.index, Need: need, Ahead: ahead})
 		if !grant.Held {
-			p.unheld(a, id)
+			p.backOffUnheld(a, id)
 			return nil
 		}
-		p.granted(a, id, grant, p.node.now.Expiry)
+		p.acceptGrant(a, id, grant, p.node.now.Expiry)
 		return nil
 	}
-	p.nextDraw++
+	p.lastDrawID++
 	d := &pendingDraw{
-		account: a, slot: id, asked: holder, need: need, ahead: ahead, redirects: redirects,
-		sent: p.node.now.Expiry, givenUp: p.node.now.Monotonic + drawTimeout,
+		account: a, slot: id, target: holder, need: need, ahead: ahead, redirects: redirects,
+		sent: p.node.now.Expiry, deadline: p.node.now.Monotonic + drawTimeout,
 	}
-	p.draws[p.nextDraw] = d
+	p.pendingDraws[p.lastDrawID] = d
 	p.node.act(Send{To: holder, Message: &message.Draw{
-		ID: p.nextDraw, Organisation: a.name, Domain: id.domain, Slot: id.index,
+		ID: p.lastDrawID, Organisation: a.name, Domain: id.domain, Slot: id.index,
 		Need: need, Ahead: ahead, From: p.node.options.Self,
 	}})
 	return d
 }
 
-// answered takes a grant from another node.
-func (p *ratePart) answered(m message.Grant) {
-	d, ok := p.draws[m.ID]
+// grantReceived processes another node's answer to a draw.
+func (p *ratePart) grantReceived(m message.Grant) {
+	d, ok := p.pendingDraws[m.ID]
 	if !ok {
 		return
 	}
-	delete(p.draws, m.ID)
+	delete(p.pendingDraws, m.ID)
 	a := d.account
-	current := a.drawing == d
+	current := a.activeDraw == d
 	if current {
-		a.drawing = nil
+		a.activeDraw = nil
 	}
 	switch {
 	case m.Held:
-		p.node.slots.elsewhere(d.slot, d.asked)
-		p.granted(a, d.slot, m, d.sent)
-	case current && m.Ask.ID != "" && m.Ask.ID != d.asked.ID && d.redirects < slotWatchers:
-		p.node.slots.elsewhere(d.slot, m.Ask)
-		a.drawing = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
+		p.node.slots.noteHolder(d.slot, d.target)
+		p.acceptGrant(a, d.slot, m, d.sent)
+	case current && m.Ask.ID != "" && m.Ask.ID != d.target.ID && d.redirects < slotWatchers:
+		p.node.slots.noteHolder(d.slot, m.Ask)
+		a.activeDraw = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
 	case current && d.redirects < slotWatchers:
-		p.node.slots.elsewhere(d.slot, coltsfootward.Instance{})
-		a.drawing = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
+		p.node.slots.noteHolder(d.slot, coltsfootward.Instance{})
+		a.activeDraw = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
 	default:
-		p.node.slots.elsewhere(d.slot, coltsfootward.Instance{})
-		p.unheld(a, d.slot)
+		p.node.slots.noteHolder(d.slot, coltsfootward.Instance{})
+		p.backOffUnheld(a, d.slot)
 	}
-	p.pump(a)
+	p.drawForWaiters(a)
 }
 
-// granted takes tokens in. They live from before the draw was sent: counted
-// from the answer, a slow answer would stretch their life past what the
-// holder's bucket allows for.
-func (p *ratePart) granted(a *account, id slotID, m message.Grant, sent time.Duration) {
+// acceptGrant adds granted tokens to the organisation's tokens. Their lifetime
+// starts when the draw was sent. If it started with the answer, a slow answer
+// would extend it beyond what the holder's bucket accounts for.
+func (p *ratePart) acceptGrant(a *account, id slotID, m message.Grant, sent time.Duration) {
 	chunk := rate.Chunk{Tokens: m.Tokens, Expires: sent + m.Life}
-	if m.Tokens > 0 && chunk.Expires <= p.node.now.Expiry+spendSpare {
-		// The way to the holder takes longer than tokens live. To draw on would
-		// empty its bucket for nobody's use.
-		p.silent(a, id)
+	if m.Tokens > 0 && chunk.Expires <= p.node.now.Expiry+minRemainingLifetime {
+		// The round trip to the holder takes longer than a token's lifetime.
+		// Further draws would only empty its bucket with no use for the tokens.
+		p.backOffUnanswered(a, id)
 		return
 	}
 	if m.Tokens > 0 {
@@ -217,30 +227,30 @@
 	*view = partView{asked: true, level: m.Level, told: now}
 	if m.EmptyFor > 0 {
 		view.emptyUntil = now + m.EmptyFor
-		view.blockedUntil = now + min(m.EmptyFor, emptyWait)
+		view.blockedUntil = now + min(m.EmptyFor, maxEmptyBackoff)
 	}
 }
 
-// unheld leaves a part alone for a moment that nobody holds, as far as is known.
-// After a loss of power of all nodes that is every part: left alone for as long as
-// one whose holder does not answer, they would have all callers refused for a
-// second after their holders are there.
-func (p *ratePart) unheld(a *account, id slotID) {
+// backOffUnheld pauses draws from a part whose slot has no known holder. After
+// a power failure of all nodes that applies to every part. With the longer
+// backoff of an unanswered draw, all callers would be refused for another
+// second after the holders are known.
+func (p *ratePart) backOffUnheld(a *account, id slotID) {
 	view := p.view(a, id)
 	if view == nil {
 		return
 	}
-	view.blockedUntil = p.node.now.Monotonic + unheldWait
+	view.blockedUntil = p.node.now.Monotonic + unheldBackoff
 	view.emptyUntil = view.blockedUntil
 }
 
-// silent leaves a part alone whose holder does not answer.
-func (p *ratePart) silent(a *account, id slotID) {
+// backOffUnanswered pauses draws from a part whose holder does not answer.
+func (p *ratePart) backOffUnanswered(a *account, id slotID) {
 	view := p.view(a, id)
 	if view == nil {
 		return
 	}
-	wait := silentWait << min(view.failures, silentDoublings)
+	wait := unansweredBackoff << min(view.failures, maxBackoffDoublings)
 	view.failures++
 	view.blockedUntil = p.node.now.Monotonic + wait
 	view.emptyUntil = view.blockedUntil
@@ -255,26 +265,27 @@
 	return nil
 }
 
-// expireDraws goes on without the draws that were not answered in time.
+// expireDraws times out unanswered draws and draws from another part for their
+// waiters.
 func (p *ratePart) expireDraws() {
-	if len(p.draws) == 0 {
+	if len(p.pendingDraws) == 0 {
 		return
 	}
 	now := p.node.now.Monotonic
-	for _, id := range slices.Sorted(maps.Keys(p.draws)) {
-		d := p.draws[id]
-		if now >= d.givenUp+drawMemory {
-			delete(p.draws, id)
+	for _, id := range slices.Sorted(maps.Keys(p.pendingDraws)) {
+		d := p.pendingDraws[id]
+		if now >= d.deadline+lateGrantWindow {
+			delete(p.pendingDraws, id)
 		}
-		if d.abandoned || now < d.givenUp {
+		if d.timedOut || now < d.deadline {
 			continue
 		}
-		d.abandoned = true
-		p.node.slots.elsewhere(d.slot, coltsfootward.Instance{})
-		p.silent(d.account, d.slot)
-		if d.account.drawing == d {
-			d.account.drawing = nil
-			p.pump(d.account)
+		d.timedOut = true
+		p.node.slots.noteHolder(d.slot, coltsfootward.Instance{})
+		p.backOffUnanswered(d.account, d.slot)
+		if d.account.activeDraw == d {
+			d.account.activeDraw = nil
+			p.drawForWaiters(d.account)
 		}
 	}
 }
--- a/core/node/handover.go
+++ b/core/node/handover.go
@@ -10,100 +10,102 @@
 )
 
 const (
-	// handoverPage is how many claims one message carries; each takes about
-	// 150 bytes, so a page is far below the limit of a frame.
-	handoverPage = 1000
-	// handoverWait is how long a handover waits for this node to take the slot.
-	handoverWait = 2 * time.Minute
+	// handoverPageClaims is the maximum number of claims in one message. A
+	// claim takes about 150 bytes, so a page is far below the frame size limit.
+	handoverPageClaims = 1000
+	// handoverLifetime is how long a received handover is kept for this node to
+	// acquire the slot.
+	handoverLifetime = 2 * time.Minute
 )
 
 // incomingHandover collects the pages of a handover.
 type incomingHandover struct {
-	epoch   uint64
-	pages   int
-	seen    map[int]bool
-	whole   claim.Handover
-	expires time.Duration
+	epoch    uint64
+	pages    int
+	received map[int]bool
+	content  claim.Handover
+	expires  time.Duration
 }
 
-// handOver gives the claims of released slots to those who may take them over.
-// A slot that merely lapsed may be this node's again in the same epoch, with
-// claims granted after the handover: only one released for good is handed over.
-func (p *claimsPart) handOver() {
-	for _, slot := range p.slots.released() {
-		h, ok := p.holders[slot.id]
+// sendHandovers sends the claims of released slots to the candidate successors.
+// A slot whose lease has only expired is not handed over. This node may acquire
+// it again in the same epoch and grant further claims, which the handover would
+// lack.
+func (p *claimsPart) sendHandovers() {
+	for _, slot := range p.slots.takeReleased() {
+		h, ok := p.held[slot.id]
 		if !ok || h.epoch != slot.epoch {
 			continue
 		}
-		delete(p.holders, slot.id)
+		delete(p.held, slot.id)
 		p.sendHandover(slot, h.claims.Handover(p.node.now))
 	}
 }
 
-func (p *claimsPart) sendHandover(slot releasedSlot, whole claim.Handover) {
-	p.node.report(record.ClaimsHandedOver, field("slot", number(slot.id.index)), field("claims", number(len(whole.Claims))))
-	pages := max((len(whole.Claims)+handoverPage-1)/handoverPage, 1)
+func (p *claimsPart) sendHandover(slot releasedSlot, handover claim.Handover) {
+	p.node.report(record.ClaimsHandedOver, field("slot", number(slot.id.index)), field("claims", number(len(handover.Claims))))
+	pages := max((len(handover.Claims)+handoverPageClaims-1)/handoverPageClaims, 1)
 	for page := range pages {
-		part := whole
-		part.Claims = whole.Claims[page*handoverPage : min((page+1)*handoverPage, len(whole.Claims))]
+		pageContent := handover
+		pageContent.Claims = handover.Claims[page*handoverPageClaims : min((page+1)*handoverPageClaims, len(handover.Claims))]
 		for _, to := range slot.successors {
 			p.node.act(Send{To: to, Message: &message.ClaimHandover{
-				Domain: slot.id.domain, Slot: slot.id.index, Epoch: slot.epoch, Page: page, Pages: pages, Handover: part,
+				Domain: slot.id.domain, Slot: slot.id.index, Epoch: slot.epoch, Page: page, Pages: pages, Handover: pageContent,
 			}})
 		}
 	}
 }
 
-// handoverReceived keeps a page until this node holds the slot.
+// handoverReceived stores a page until this node holds the slot.
 func (p *claimsPart) handoverReceived(m message.ClaimHandover) {
-	most := p.node.options.MaximumClaims/handoverPage + 1
-	if m.Pages < 1 || m.Pages > most || m.Page < 0 || m.Page >= m.Pages || len(m.Handover.Claims) > handoverPage {
+	maxPages := p.node.options.MaximumClaims/handoverPageClaims + 1
+	if m.Pages < 1 || m.Pages > maxPages || m.Page < 0 || m.Page >= m.Pages || len(m.Handover.Claims) > handoverPageClaims {
 		return
 	}
 	id := slotID{domain: m.Domain, index: m.Slot}
-	if !slices.Contains(p.slots.own(), id) {
+	if !slices.Contains(p.slots.localSlots(), id) {
 		return
 	}
 	in, ok := p.handovers[id]
 	if !ok || in.epoch < m.Epoch {
-		in = &incomingHandover{epoch: m.Epoch, pages: m.Pages, seen: make(map[int]bool), whole: m.Handover}
-		in.whole.Claims = nil
-		in.expires = p.node.now.Monotonic + handoverWait
+		in = &incomingHandover{epoch: m.Epoch, pages: m.Pages, received: make(map[int]bool), content: m.Handover}
+		in.content.Claims = nil
+		in.expires = p.node.now.Monotonic + handoverLifetime
 		p.handovers[id] = in
 	}
-	if in.epoch != m.Epoch || in.pages != m.Pages || in.seen[m.Page] {
+	if in.epoch != m.Epoch || in.pages != m.Pages || in.received[m.Page] {
 		return
 	}
-	in.seen[m.Page] = true
-	in.whole.Claims = append(in.whole.Claims, m.Handover.Claims...)
-	if h, ok := p.holder(id); ok {
-		p.takeOver(id, h)
+	in.received[m.Page] = true
+	in.content.Claims = append(in.content.Claims, m.Handover.Claims...)
+	if h, ok := p.claimsOf(id); ok {
+		p.applyHandover(id, h)
 	}
 }
 
-// takeOver completes the claims of a slot whose last holder handed them over.
-// It must have been the holder right before: one in between may have granted
-// keys that the handover does not know.
-func (p *claimsPart) takeOver(id slotID, h *slotHolder) {
+// applyHandover adds the claims of the previous holder to those of a held slot.
+// The handover must come from the immediately preceding epoch, because a holder
+// in between may have granted keys that the handover does not contain.
+func (p *claimsPart) applyHandover(id slotID, h *slotClaims) {
 	in, ok := p.handovers[id]
-	if !ok || in.epoch+1 != h.epoch || len(in.seen) < in.pages {
+	if !ok || in.epoch+1 != h.epoch || len(in.received) < in.pages {
 		return
 	}
 	delete(p.handovers, id)
-	h.claims.Take(p.node.now, in.whole)
-	p.node.report(record.ClaimsTakenOver, field("slot", number(id.index)), field("claims", number(len(in.whole.Claims))))
+	h.claims.Take(p.node.now, in.content)
+	p.node.report(record.ClaimsTakenOver, field("slot", number(id.index)), field("claims", number(len(in.content.Claims))))
 }
 
-// tickHandovers takes handovers whose slot has become this node's and drops
-// those of slots that others took.
-func (p *claimsPart) tickHandovers() {
-	for _, id := range p.slots.own() {
+// checkHandovers applies handovers for slots that this node now holds, and
+// drops those that have expired.
+func (p *claimsPart) checkHandovers() {
+	for _, id := range p.slots.localSlots() {
 		in, ok := p.handovers[id]
 		if !ok {
 			continue
 		}
 		if term, held := p.slots.term(id); held && term.epoch == in.epoch+1 {
-			p.holder(id)
+			p.claimsOf(id)
 		}
 		if p.node.now.Monotonic >= in.expires {
 			delete(p.handovers, id)
--- a/core/node/key.go
+++ b/core/node/key.go
@@ -9,32 +9,34 @@
 	"coltsfootward/core/record"
 )
 
-// domainPatience is how long a failure domain counts as heard after its last
-// message. Each node probes each other domain about every 20 s at 18 of them.
-const domainPatience = time.Minute
-
-// keyMarks are keys that were withdrawn, known before the change is in force
-// here. The set grows until the configuration says the same.
-type keyMarks struct {
+// domainContactTimeout is how long a failure domain counts as reachable after
+// its last message. With 18 failure domains each node probes each of the others
+// about every 20 s.
+const domainContactTimeout = time.Minute
+
+// withdrawnKeys are keys that are known to be withdrawn although the withdrawal
+// is not in force here yet. A key stays in the set until the configuration
+// contains its withdrawal.
+type withdrawnKeys struct {
 	digests map[coltsfootward.KeyDigest]bool
 }
 
-func (m *keyMarks) add(digest coltsfootward.KeyDigest) {
+func (m *withdrawnKeys) add(digest coltsfootward.KeyDigest) {
 	if m.digests == nil {
 		m.digests = make(map[coltsfootward.KeyDigest]bool)
 	}
 	m.digests[digest] = true
 }
 
-// settle drops the marks that the configuration has made good.
-func (m *keyMarks) settle(c coltsfootward.Configuration) {
+// prune removes the keys whose withdrawal the configuration contains.
+func (m *withdrawnKeys) prune(c coltsfootward.Configuration) {
 	maps.DeleteFunc(m.digests, func(digest coltsfootward.KeyDigest, _ bool) bool {
 		key, ok := c.Key(digest)
 		return ok && key.Withdrawn
 	})
 }
 
-func (m *keyMarks) list(limit int) []coltsfootward.KeyDigest {
+func (m *withdrawnKeys) list(limit int) []coltsfootward.KeyDigest {
 	if len(m.digests) == 0 {
 		return nil
 	}
@@ -42,97 +44,102 @@
 	return all[:min(len(all), limit)]
 }
 
-// mark stops a key here and tells a few members at once. The change that
-// withdraws it may still wait for a slow platform or for changes before it.
-func (p *configurationPart) mark(digest coltsfootward.KeyDigest) {
+// markWithdrawn rejects a key at this node from now on and notifies a few
+// members. The change that withdraws the key may still be delayed by a slow
+// platform or by earlier changes that are missing.
+func (p *configurationPart) markWithdrawn(digest coltsfootward.KeyDigest) {
 	key, ok := p.current.Key(digest)
-	if p.marks.digests[digest] || ok && key.Withdrawn {
+	if p.withdrawn.digests[digest] || ok && key.Withdrawn {
 		return
 	}
-	p.marks.add(digest)
+	p.withdrawn.add(digest)
 	if p.node.membership == nil {
 		return
 	}
-	own := p.own()
+	own := p.ownDigest()
 	own.Withdrawn = []coltsfootward.KeyDigest{digest}
 	for _, to := range p.pushTargets() {
 		p.node.act(Send{To: to, Message: &own})
 	}
 }
 
-// WithdrawKey stops a key at once, here and at every node that can be reached,
-// before the change that withdraws it is stored. It is not kept by the platform:
-// without that change, nodes that start later honour the key.
+// WithdrawKey makes this node and every reachable node reject a key
+// immediately, before the change that withdraws it is stored. The platform does
+// not store this call: without the change, nodes that start later accept the
+// key.
 func (n *Node) WithdrawKey(digest coltsfootward.KeyDigest) {
-	n.configuration.mark(digest)
+	n.configuration.markWithdrawn(digest)
 }
 
-// key returns the key of that digest, or why it is not honoured.
+// key returns the key with the given digest, or a refusal if the key is not
+// accepted.
 func (p *configurationPart) key(digest coltsfootward.KeyDigest) (coltsfootward.Key, *coltsfootward.Refusal) {
 	if p.current.Revision() == 0 {
 		return coltsfootward.Key{}, refusal(coltsfootward.RefusalConfiguration, "no configuration has been read yet")
 	}
-	// A node that was paused may get a request before its next tick.
+	// A node that was paused may receive a request before its next tick.
 	p.checkContact()
 	if p.contact.stopped {
 		return coltsfootward.Key{}, refusal(coltsfootward.RefusalConfiguration, "this instance is cut off and cannot tell whether keys were withdrawn")
 	}
 	key, ok := p.current.Key(digest)
-	if !ok || key.Withdrawn || p.marks.digests[digest] {
+	if !ok || key.Withdrawn || p.withdrawn.digests[digest] {
 		return coltsfootward.Key{}, refusal(coltsfootward.RefusalUnauthenticated, "the key is unknown or withdrawn")
 	}
 	return key, nil
 }
 
-// contactAge says how old this node's evidence is that a withdrawn key would
-// have come to its ears. All times are of Instant.Expiry, which is never behind:
-// a node that was suspended must not take its old evidence for young.
-type contactAge struct {
-	// tableRead is when the table was last read by this node or by one that it
-	// has heard of.
-	tableRead time.Duration
-	// majority is when most failure domains were last heard. While the platform
-	// is away no change can be accepted, so whoever hears most domains misses
-	// none; a side with fewer may be cut off from the platform alone.
-	majority time.Duration
-	checked  time.Duration
-	stopped  bool
-	// reported is set while operators have been told that keys are stopped.
+// contactState tracks when this node last had contact through which it would
+// have learned of a withdrawn key. All times are by Instant.Expiry, which never
+// lags real time, so that a node that was suspended does not treat old contact
+// as recent.
+type contactState struct {
+	// lastTableRead is the latest read of the table by this node or by a node
+	// whose digest reached it.
+	lastTableRead time.Duration
+	// lastMajority is when most failure domains were last reachable. No change
+	// can be accepted while the platform is unavailable, so a node that reaches
+	// most failure domains misses none. A smaller side of a network partition
+	// may be the only one that cannot reach the platform.
+	lastMajority time.Duration
+	lastCheck    time.Duration
+	stopped      bool
+	// reported is set while the reported state is that keys are rejected.
 	reported bool
 }
 
-// began leaves a node that starts without any evidence: else each restart behind
-// a cut would begin the grace anew.
-func (a *contactAge) began(now coltsfootward.Instant, grace time.Duration) {
-	a.tableRead = now.Expiry - grace - 1
-	a.majority = a.tableRead
+// reset starts the state without any contact. Otherwise each restart within a
+// network partition would start a new grace period.
+func (a *contactState) reset(now coltsfootward.Instant, grace time.Duration) {
+	a.lastTableRead = now.Expiry - grace - 1
+	a.lastMajority = a.lastTableRead
 	a.stopped = true
 }
 
-func (a *contactAge) table(at time.Duration) {
-	a.tableRead = max(a.tableRead, at)
+func (a *contactState) noteTableRead(at time.Duration) {
+	a.lastTableRead = max(a.lastTableRead, at)
 }
 
-func (a *contactAge) tableAge(now coltsfootward.Instant) time.Duration {
-	return max(now.Expiry-a.tableRead, 0)
+func (a *contactState) tableAge(now coltsfootward.Instant) time.Duration {
+	return max(now.Expiry-a.lastTableRead, 0)
 }
 
-// checkContact stops all keys at a node that has been cut off for too long.
-// Without it a caller behind a cut could use a withdrawn key for as long as the
-// cut lasts.
+// checkContact makes the node reject all keys after it was isolated for too
+// long. Otherwise a caller on the isolated side of a network partition could
+// use a withdrawn key for the whole partition.
 func (p *configurationPart) checkContact() {
 	a := &p.contact
 	now := p.node.now.Expiry
-	// A node that is stopped looks again at once, so that it honours keys as soon
-	// as it hears of anybody.
-	if now-a.checked < time.Second && !a.stopped {
+	// A node that rejects keys checks on every call, so that it accepts them
+	// again as soon as it has contact.
+	if now-a.lastCheck < time.Second && !a.stopped {
 		return
 	}
-	a.checked = now
-	if p.hearsMostDomains() {
-		a.majority = now
+	a.lastCheck = now
+	if p.reachesMostDomains() {
+		a.lastMajority = now
 	}
-	stopped := now-max(a.tableRead, a.majority) > p.node.options.KeyGrace
+	stopped := now-max(a.lastTableRead, a.lastMajority) > p.node.options.KeyGrace
 	if stopped && !a.stopped {
 		p.node.report(record.KeysStopped)
 		a.reported = true
@@ -144,24 +151,25 @@
 	a.stopped = stopped
 }
 
-func (p *configurationPart) hearsMostDomains() bool {
+func (p *configurationPart) reachesMostDomains() bool {
 	domains := slices.Concat(p.node.options.Domains, p.node.membership.machine.Domains())
 	slices.Sort(domains)
 	domains = slices.Compact(domains)
-	heard := 0
+	reached := 0
 	for _, domain := range domains {
-		if p.hears(domain) {
-			heard++
+		if p.reaches(domain) {
+			reached++
 		}
 	}
-	return 2*heard > len(domains)
+	return 2*reached > len(domains)
 }
 
-// hears counts the own domain as heard if no other node is known to run there.
-func (p *configurationPart) hears(domain coltsfootward.FailureDomain) bool {
+// reaches reports whether a failure domain is reachable. The own domain counts
+// as reachable if no other node is known to run there.
+func (p *configurationPart) reaches(domain coltsfootward.FailureDomain) bool {
 	m := p.node.membership.machine
 	if domain == p.node.options.Self.Domain && len(m.Roster(domain)) <= 1 {
 		return true
 	}
-	return m.HeardWithin(p.node.now, domain, domainPatience)
+	return m.HeardWithin(p.node.now, domain, domainContactTimeout)
 }
--- a/core/node/lease.go
+++ b/core/node/lease.go
@@ -14,75 +14,81 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slotWatchers is how many nodes look after one slot: its holder and those
-// that would take it over. The others never read its record, so that the
-// platform's load does not grow with the number of nodes; they are told the
-// holder by whom they ask.
+// slotWatchers is the number of nodes that read the record of one slot: its
+// holder and the candidates to succeed it. Other nodes never read the record,
+// so that the load on the platform does not grow with the number of nodes; they
+// learn the holder from the answers of the nodes that they ask.
 const slotWatchers = 3
 
-// rankInterval is the time between two looks at who should look after which
-// slot. At 64 slots and 1,333 nodes each look costs 85,000 hashes.
+// rankInterval is the time between two computations of the slots' candidates.
+// With 64 slots and 1,333 nodes each computation costs 85,000 hashes.
 const rankInterval = 2 * time.Second
 
-// While a node learns of the others it takes slots that it should not keep. It
-// looks more often then, to hand them over before they are in use.
+// A node that has just started and does not know all others yet acquires slots
+// that it should not keep. During this period it computes the candidates more
+// often, to release such slots before they are in use.
 const (
 	startPeriod       = 10 * time.Second
 	startRankInterval = 250 * time.Millisecond
 )
 
-// releaseWait bounds how long a leaving node waits for the platform to take
-// its slots back. Longer is not worth it: the slots come free by themselves.
-const releaseWait = 2 * time.Second
+// releaseTimeout bounds how long a leaving node waits for the platform to store
+// the release of its slots. A longer wait gains nothing, because the leases
+// expire.
+const releaseTimeout = 2 * time.Second
 
-// slotID names a slot of the deployment.
+// slotID identifies a slot of the deployment.
 type slotID struct {
 	domain coltsfootward.FailureDomain
 	index  int
 }
 
-// route is whom a node asks for a slot's holder.
-type route struct {
-	// holder answered as the holder, or was named as it; empty if unknown.
+// holderHint is the node's current assumption about the holder of a slot.
+type holderHint struct {
+	// holder answered as the holder or was named as the holder by another node.
+	// It is empty if the holder is unknown.
 	holder coltsfootward.Instance
-	// try counts the candidates that were asked in vain.
-	try int
+	// misses counts the candidates that were asked and did not hold the slot.
+	misses int
 }
 
-// leasePart holds slots of the node's own failure domain and knows whom to ask
-// about the others.
+// leasePart manages the leases of slots in the node's own failure domain and
+// finds the holders of all other slots.
 type leasePart struct {
 	node  *Node
 	slots []*lease.Slot
-	// ranks is where this node stands in the order of each slot's candidates.
+	// ranks is this node's position among each slot's candidates.
 	ranks []int
-	// offered is until when each slot is offered to this node, by Instant.Monotonic.
-	offered []time.Duration
-	// successors are those that each slot was last offered to by this node.
+	// offeredUntil is the time until which each slot is offered to this node,
+	// by Instant.Monotonic.
+	offeredUntil []time.Duration
+	// successors are the instances that this node last offered each slot to.
 	successors []coltsfootward.Instance
-	// held is what was reported last.
-	held   []bool
-	fair   int
-	booted time.Duration
-	ranked time.Duration
-	routes map[slotID]*route
-	// lost holds the peers whose connection broke and that were not heard since.
-	lost        map[coltsfootward.InstanceID]bool
-	releaseFrom time.Duration
-	// released are slots given up whose claims are still to be handed over.
+	// reported is the state of each slot that was reported last.
+	reported  []bool
+	fairShare int
+	started   time.Duration
+	nextRank  time.Duration
+	hints     map[slotID]*holderHint
+	// disconnected holds the peers whose connection broke and from which no
+	// message has arrived since.
+	disconnected   map[coltsfootward.InstanceID]bool
+	releaseStarted time.Duration
+	// released are the slots that were released and whose claims are not handed
+	// over yet.
 	released []releasedSlot
 }
 
 func newLeasePart(n *Node) *leasePart {
 	p := &leasePart{
-		node:       n,
-		ranks:      make([]int, n.options.Slots),
-		successors: make([]coltsfootward.Instance, n.options.Slots),
-		held:       make([]bool, n.options.Slots),
-		offered:    make([]time.Duration, n.options.Slots),
-		booted:     n.now.Monotonic,
-		routes:     make(map[slotID]*route),
-		lost:       make(map[coltsfootward.InstanceID]bool),
+		node:         n,
+		ranks:        make([]int, n.options.Slots),
+		successors:   make([]coltsfootward.Instance, n.options.Slots),
+		reported:     make([]bool, n.options.Slots),
+		offeredUntil: make([]time.Duration, n.options.Slots),
+		started:      n.now.Monotonic,
+		hints:        make(map[slotID]*holderHint),
+		disconnected: make(map[coltsfootward.InstanceID]bool),
 	}
 	for range n.options.Slots {
 		p.slots = append(p.slots, lease.New(lease.Options{Self: n.options.Self, Term: n.options.LeaseTerm, Margin: n.options.LeaseMargin}))
@@ -92,16 +98,16 @@
 
 func (p *leasePart) tick() {
 	now := p.node.now
-	if now.Monotonic >= p.ranked {
-		p.ranked = now.Monotonic + rankInterval
-		if now.Monotonic < p.booted+startPeriod {
-			p.ranked = now.Monotonic + startRankInterval
+	if now.Monotonic >= p.nextRank {
+		p.nextRank = now.Monotonic + rankInterval
+		if now.Monotonic < p.started+startPeriod {
+			p.nextRank = now.Monotonic + startRankInterval
 		}
-		p.rank()
-		p.handOver()
+		p.updateRanks()
+		p.rebalance()
 	}
 	for i, s := range p.slots {
-		p.perform(i, s.Tick(now, p.candidacy(i)))
+		p.execute(i, s.Tick(now, p.candidacy(i)))
 		p.reportHeld(i)
 	}
 }
@@ -110,16 +116,16 @@
 	rank := p.ranks[index]
 	term := p.node.options.LeaseTerm
 	c := lease.Candidacy{Eligible: !p.node.draining && p.watches(index), Delay: time.Duration(rank) * term / 3}
-	if p.node.now.Monotonic < p.offered[index] {
+	if p.node.now.Monotonic < p.offeredUntil[index] {
 		return lease.Candidacy{Eligible: !p.node.draining}
 	}
-	if p.mine() >= p.fair {
+	if p.ownedCount() >= p.fairShare {
 		c.Delay += 2 * term
 	}
 	return c
 }
 
-func (p *leasePart) mine() int {
+func (p *leasePart) ownedCount() int {
 	count := 0
 	for _, s := range p.slots {
 		if s.Mine() && !s.Releasing() {
@@ -129,8 +135,9 @@
 	return count
 }
 
-// rank finds this node's place in the order of each slot's candidates.
-func (p *leasePart) rank() {
+// updateRanks computes this node's position among each slot's candidates, and
+// its fair share of the slots.
+func (p *leasePart) updateRanks() {
 	domain := p.node.options.Self.Domain
 	count := 1
 	for i := range p.slots {
@@ -138,42 +145,43 @@
 		count = len(order)
 		p.ranks[i] = slices.IndexFunc(order, func(c coltsfootward.Instance) bool { return c.ID == p.node.options.Self.ID })
 	}
-	p.fair = (len(p.slots) + count - 1) / max(count, 1)
+	p.fairShare = (len(p.slots) + count - 1) / max(count, 1)
 }
 
-// candidates returns the nodes of the slot's domain in the order in which they
-// should hold it, the same at every node that knows the same peers.
+// candidates returns the nodes of the slot's failure domain in the order of
+// preference for holding the slot. Nodes that know the same peers compute the
+// same order.
 func (p *leasePart) candidates(id slotID) []coltsfootward.Instance {
-	var found []coltsfootward.Instance
+	var running []coltsfootward.Instance
 	for _, member := range p.node.membership.roster(id.domain) {
 		instance := member.Announcement.Instance
-		if member.State != message.MemberGone && !p.lost[instance.ID] {
-			found = append(found, instance)
+		if member.State != message.MemberGone && !p.disconnected[instance.ID] {
+			running = append(running, instance)
 		}
 	}
-	weights := make(map[coltsfootward.InstanceID]uint64, len(found))
-	for _, c := range found {
+	weights := make(map[coltsfootward.InstanceID]uint64, len(running))
+	for _, c := range running {
 		weights[c.ID] = xxhash.Sum64String(fmt.Sprintf("%s/%d/%s", id.domain, id.index, c.ID))
 	}
-	slices.SortFunc(found, func(a, b coltsfootward.Instance) int {
+	slices.SortFunc(running, func(a, b coltsfootward.Instance) int {
 		return cmp.Or(cmp.Compare(weights[a.ID], weights[b.ID]), cmp.Compare(a.ID, b.ID))
 	})
-	return found
+	return running
 }
 
-// successorsOf returns the first candidates of a slot but for this node.
+// successorsOf returns the first candidates of a slot, excluding this node.
 func (p *leasePart) successorsOf(id slotID) []coltsfootward.Instance {
 	order := slices.DeleteFunc(p.candidates(id), func(c coltsfootward.Instance) bool { return c.ID == p.node.options.Self.ID })
 	return order[:min(len(order), slotWatchers)]
 }
 
-// handOver gives up slots if the node holds more than its share: a node that
-// started first would otherwise keep them all, and its loss would stop the
-// whole domain. Slots that are in use go one at a time, since the next holder
-// starts with empty buckets.
-func (p *leasePart) handOver() {
-	for !p.node.draining && p.mine() > p.fair {
-		index := p.worst()
+// rebalance releases slots if the node holds more than its fair share.
+// Otherwise the node that started first would keep them all, and its loss would
+// stop the whole failure domain. Slots in use are released one at a time,
+// because the next holder starts with empty buckets.
+func (p *leasePart) rebalance() {
+	for !p.node.draining && p.ownedCount() > p.fairShare {
+		index := p.leastPreferred()
 		unused := p.unused(index)
 		p.release(index)
 		if !unused {
@@ -182,8 +190,8 @@
 	}
 }
 
-// release gives a slot up. From here on this node grants nothing more in its
-// present epoch, also if the platform does not take the slot back.
+// release gives a slot up. From now on this node grants nothing more in the
+// slot's current epoch, even if the platform does not store the release.
 func (p *leasePart) release(index int) {
 	slot := p.slots[index]
 	if slot.Releasing() {
@@ -194,21 +202,23 @@
 	p.released = append(p.released, releasedSlot{id: id, epoch: slot.Epoch(), successors: p.successorsOf(id)})
 }
 
-// takeReleased returns the slots that were given up since the last call.
+// takeReleased returns the slots that were released since the last call.
 func (p *leasePart) takeReleased() []releasedSlot {
 	released := p.released
 	p.released = nil
 	return released
 }
 
-// unused reports whether nothing was granted in the slot's name in this epoch.
+// unused reports whether this node has granted neither tokens nor claims for
+// the slot in its current epoch.
 func (p *leasePart) unused(index int) bool {
 	slot := slotID{domain: p.node.options.Self.Domain, index: index}
-	return p.node.rate.unused(index) && p.node.claims.holders[slot] == nil
+	return p.node.rate.unused(index) && p.node.claims.held[slot] == nil
 }
 
-// worst returns the held slot that this node is the least preferred for.
-func (p *leasePart) worst() int {
+// leastPreferred returns the held slot for which this node is the lowest-ranked
+// candidate.
+func (p *leasePart) leastPreferred() int {
 	worst := -1
 	for i, s := range p.slots {
 		if s.Mine() && !s.Releasing() && (worst < 0 || p.ranks[i] > p.ranks[worst]) {
@@ -218,9 +228,9 @@
 	return worst
 }
 
-// drain gives every slot up.
+// drain releases all slots.
 func (p *leasePart) drain() {
-	p.releaseFrom = p.node.now.Monotonic
+	p.releaseStarted = p.node.now.Monotonic
 	for i, s := range p.slots {
 		if s.Mine() {
 			p.release(i)
@@ -228,19 +238,20 @@
 	}
 }
 
-// leaving reports whether the platform is still to take slots back.
-func (p *leasePart) leaving() bool {
+// releasePending reports whether the node still waits for the platform to store
+// the release of its slots.
+func (p *leasePart) releasePending() bool {
 	mine := slices.ContainsFunc(p.slots, (*lease.Slot).Mine)
-	return mine && !p.node.table.away && p.node.now.Monotonic < p.releaseFrom+releaseWait
+	return mine && !p.node.table.unavailable && p.node.now.Monotonic < p.releaseStarted+releaseTimeout
 }
 
-func (p *leasePart) perform(index int, action lease.Action) {
+func (p *leasePart) execute(index int, action lease.Action) {
 	key := lease.Key(p.node.options.Self.Domain, index)
 	slot := p.slots[index]
 	switch a := action.(type) {
 	case lease.Read:
 		p.node.table.read(key, func(row coltsfootward.Row, err error) {
-			p.perform(index, slot.ReadAnswered(p.node.now, row, err))
+			p.execute(index, slot.ReadAnswered(p.node.now, row, err))
 		})
 	case lease.Write:
 		t := coltsfootward.Transaction{
@@ -249,18 +260,19 @@
 		}
 		p.node.table.transact(t, func(err error) {
 			releasing := slot.Releasing()
-			p.perform(index, slot.WriteAnswered(p.node.now, err))
+			p.execute(index, slot.WriteAnswered(p.node.now, err))
 			if releasing && !slot.Mine() {
-				p.offer(slotID{domain: p.node.options.Self.Domain, index: index})
+				p.offerSlot(slotID{domain: p.node.options.Self.Domain, index: index})
 			}
 		})
 	}
 	p.reportHeld(index)
 }
 
-// offer tells the next candidate of a slot that it was released. Without that
-// the slot would stay unused until the candidate's next look at it.
-func (p *leasePart) offer(id slotID) {
+// offerSlot notifies the next candidate that a slot was released. Without the
+// notification the slot would stay unused until the candidate's next read of
+// the record.
+func (p *leasePart) offerSlot(id slotID) {
 	order := p.successorsOf(id)
 	if len(order) == 0 {
 		return
@@ -269,21 +281,21 @@
 	p.successors[id.index] = order[0]
 }
 
-func (p *leasePart) takeOffer(m message.SlotOffer) {
-	slot, ok := p.own(slotID{domain: m.Domain, index: m.Slot})
+func (p *leasePart) offerReceived(m message.SlotOffer) {
+	slot, ok := p.localSlot(slotID{domain: m.Domain, index: m.Slot})
 	if !ok {
 		return
 	}
-	p.offered[m.Slot] = p.node.now.Monotonic + p.node.options.LeaseTerm
+	p.offeredUntil[m.Slot] = p.node.now.Monotonic + p.node.options.LeaseTerm
 	slot.Look()
 }
 
 func (p *leasePart) reportHeld(index int) {
 	held := p.slots[index].Held(p.node.now)
-	if held == p.held[index] {
+	if held == p.reported[index] {
 		return
 	}
-	p.held[index] = held
+	p.reported[index] = held
 	code := record.SlotLost
 	if held {
 		code = record.SlotHeld
@@ -291,57 +303,59 @@
 	p.node.report(code, field("slot", number(index)), field("epoch", number(p.slots[index].Epoch())))
 }
 
-// own returns the slot if it is one that this node may hold.
-func (p *leasePart) own(id slotID) (*lease.Slot, bool) {
+// localSlot returns the slot if it is in this node's failure domain.
+func (p *leasePart) localSlot(id slotID) (*lease.Slot, bool) {
 	if id.domain != p.node.options.Self.Domain || id.index < 0 || id.index >= len(p.slots) {
 		return nil, false
 	}
 	return p.slots[id.index], true
 }
 
-// holder returns whom to ask for a slot.
+// holder returns the instance to ask for a slot.
 func (p *leasePart) holder(id slotID) (coltsfootward.Instance, bool) {
-	if s, ok := p.own(id); ok && s.Held(p.node.now) {
+	if s, ok := p.localSlot(id); ok && s.Held(p.node.now) {
 		return p.node.options.Self, true
 	}
-	r := p.route(id)
-	// Another node's look at the record may name this one after it has lapsed.
-	if r.holder.ID != "" && r.holder.ID != p.node.options.Self.ID && !p.lost[r.holder.ID] {
+	r := p.hint(id)
+	// Another node's copy of the record may still name this node after its
+	// lease has expired.
+	if r.holder.ID != "" && r.holder.ID != p.node.options.Self.ID && !p.disconnected[r.holder.ID] {
 		return r.holder, true
 	}
-	if watched := p.known(id); watched.ID != "" && !p.lost[watched.ID] && r.try == 0 {
-		return watched, true
+	if recorded := p.lastKnownHolder(id); recorded.ID != "" && !p.disconnected[recorded.ID] && r.misses == 0 {
+		return recorded, true
 	}
 	order := p.successorsOf(id)
 	if len(order) == 0 {
 		return coltsfootward.Instance{}, false
 	}
-	return order[r.try%len(order)], true
+	return order[r.misses%len(order)], true
 }
 
-func (p *leasePart) route(id slotID) *route {
-	r, ok := p.routes[id]
+func (p *leasePart) hint(id slotID) *holderHint {
+	r, ok := p.hints[id]
 	if !ok {
-		r = &route{}
-		p.routes[id] = r
+		r = &holderHint{}
+		p.hints[id] = r
 	}
 	return r
 }
 
-// holderAnswered notes who holds a slot.
-func (p *leasePart) holderAnswered(id slotID, holder coltsfootward.Instance) {
-	*p.route(id) = route{holder: holder}
+// setHolder records the holder of a slot.
+func (p *leasePart) setHolder(id slotID, holder coltsfootward.Instance) {
+	*p.hint(id) = holderHint{holder: holder}
 }
 
-// holderFailed notes that whoever was asked does not hold the slot.
-func (p *leasePart) holderFailed(id slotID) {
-	r := p.route(id)
-	*r = route{try: r.try + 1}
+// holderMissed records that the instance asked last does not hold the slot.
+func (p *leasePart) holderMissed(id slotID) {
+	r := p.hint(id)
+	*r = holderHint{misses: r.misses + 1}
 }
 
-// known returns the holder of an own slot for a node that asked in vain.
-func (p *leasePart) known(id slotID) coltsfootward.Instance {
-	s, ok := p.own(id)
+// lastKnownHolder returns the holder of a slot in this node's failure domain,
+// for a node that asked this one although it does not hold the slot.
+func (p *leasePart) lastKnownHolder(id slotID) coltsfootward.Instance {
+	s, ok := p.localSlot(id)
 	if !ok {
 		return coltsfootward.Instance{}
 	}
@@ -351,9 +365,10 @@
 		return coltsfootward.Instance{}
 	case holder.ID == p.node.options.Self.ID:
 		return p.successors[id.index]
-	// Slots move while a domain's nodes start. Who no longer looks after a slot
-	// has an old record of it: named from that, the old holder would be asked
-	// again and again, and the domain's own part of each rate lie unused.
+	// Slots move while the nodes of a failure domain start. A node that no
+	// longer watches a slot has an outdated copy of its record. If it named the
+	// holder from that copy, the previous holder would be asked again and
+	// again, and the failure domain's own part of each rate would stay unused.
 	case !p.watches(id.index):
 		return coltsfootward.Instance{}
 	default:
@@ -367,6 +382,6 @@
 	return rank >= 0 && rank < slotWatchers
 }
 
-func (p *leasePart) heard(from coltsfootward.InstanceID) { delete(p.lost, from) }
+func (p *leasePart) messageReceived(from coltsfootward.InstanceID) { delete(p.disconnected, from) }
 
-func (p *leasePart) peerLost(id coltsfootward.InstanceID) { p.lost[id] = true }
+func (p *leasePart) peerLost(id coltsfootward.InstanceID) { p.disconnected[id] = true }
--- a/core/node/membership.go
+++ b/core/node/membership.go
@@ -15,104 +15,108 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ContactPrefix is where a few nodes of each failure domain leave their
-// addresses, for others to find the system at their start.
+// ContactPrefix is the key prefix under which a few nodes of each failure
+// domain store their addresses, so that starting nodes can find them.
 const ContactPrefix = "contact/"
 
 const (
-	// contactRows is how many nodes of a failure domain do so. Four are unlikely
-	// to be replaced all together before one of them sees the others gone.
-	contactRows = 4
-	// contactLimit bounds the rows of one scan.
-	contactLimit = 1000
-	// contactInterval is the time between two reads of the contacts by those
-	// who keep them. A stale row stands for at most this long.
+	// contactsPerDomain is the number of nodes of a failure domain that store
+	// their addresses. Four nodes are unlikely to be replaced all at once,
+	// before one of them notices that the others are gone.
+	contactsPerDomain = 4
+	// contactScanLimit is the maximum number of rows in one scan.
+	contactScanLimit = 1000
+	// contactInterval is the time between two reads of the contacts by the
+	// nodes that maintain them. An outdated row remains for at most this long.
 	contactInterval = time.Minute
-	// settledRank is how long a node must have had its place in its domain to act
-	// on it: a node that has just started takes many, as it hears of the others.
-	settledRank = 2 * time.Second
-	// firstScan is the time over which nodes that start together spread their
-	// first read of the contacts, and longestScan what the pause between two reads
-	// grows to while the platform does not answer.
-	firstScan   = 300 * time.Millisecond
-	longestScan = 2 * time.Second
-	// contactPatience is how long a node that reaches none of its domain's
-	// contacts waits before it takes their place.
-	contactPatience = 5 * time.Second
+	// rankSettleTime is how long a node's rank in its failure domain must be
+	// stable before the node acts on it. The rank of a starting node changes
+	// repeatedly while it learns of the other nodes.
+	rankSettleTime = 2 * time.Second
+	// initialScanDelay is the interval over which nodes that start together
+	// spread their first read of the contacts. maxScanDelay is the longest
+	// delay between two reads while the platform does not answer.
+	initialScanDelay = 300 * time.Millisecond
+	maxScanDelay     = 2 * time.Second
+	// contactTimeout is how long a node that reaches none of its failure
+	// domain's contacts waits before it replaces them.
+	contactTimeout = 5 * time.Second
 )
 
-// membershipPart knows the other nodes and what their backend servers offer.
+// membershipPart tracks the other nodes and the backend servers that they
+// announce.
 type membershipPart struct {
 	node    *Node
 	machine *membership.Machine
 	// local is this node's own announcement.
 	local message.Announcement
-	// scan is when to read the contacts next, scanPause the pause after a read
-	// that brought nothing.
-	scan      time.Duration
-	scanPause time.Duration
-	// scanned is set once the platform has told the contacts, scanning while it is
-	// asked.
-	scanned, scanning bool
-	began             time.Duration
-	// spread is this node's place, 0 to 1, in what nodes that start together
-	// spread over time.
-	spread float64
-	// rank is this node's place among its domain's contacts, ranked since when it
-	// has had it, and kept the place whose row it looks after.
-	rank, kept int
-	ranked     time.Duration
-	// rows holds the contacts by their keys, as they were read last.
-	rows map[string]coltsfootward.Instance
-	// contactDomains are the failure domains that the table names contacts of.
+	// nextScan is when the contacts are read next. scanBackoff is the delay
+	// after a failed read.
+	nextScan    time.Duration
+	scanBackoff time.Duration
+	// contactsRead is set once the contacts have been read. scanning is set
+	// while a read is in progress.
+	contactsRead, scanning bool
+	started                time.Duration
+	// jitter is this node's fixed position, 0 to 1, within the intervals over
+	// which nodes that start together spread their actions.
+	jitter float64
+	// rank is this node's rank among its failure domain's contacts, and
+	// rankSince when it got that rank. rowRank is the rank whose row in the
+	// table the node maintains.
+	rank, rowRank int
+	rankSince     time.Duration
+	// contactRows holds the contacts by their keys in the table, as last read.
+	contactRows map[string]coltsfootward.Instance
+	// contactDomains are the failure domains that have contacts in the table.
 	contactDomains []coltsfootward.FailureDomain
 }
 
 func newMembershipPart(n *Node) *membershipPart {
-	p := &membershipPart{node: n, began: n.now.Monotonic, rank: noRank, kept: noRank}
+	p := &membershipPart{node: n, started: n.now.Monotonic, rank: noRank, rowRank: noRank}
 	p.machine = membership.New(membership.Options{
 		Self:      n.options.Self,
 		Send:      func(to coltsfootward.Instance, m message.Message) { n.act(Send{To: to, Message: m}) },
-		Digest:    n.configuration.own,
-		Changed:   p.changed,
-		Reachable: p.reachable,
+		Digest:    n.configuration.ownDigest,
+		Changed:   p.memberChanged,
+		Reachable: p.reachabilityChanged,
 	}, n.source, n.now)
 	p.local = p.machine.Local()
-	p.spread = float64(xxhash.Sum64String(string(n.options.Self.ID))) / math.MaxUint64
-	p.scan = n.now.Monotonic + time.Duration(n.source.Int64N(int64(min(firstScan, n.options.PollInterval))))
-	p.scanPause = firstScan
+	p.jitter = float64(xxhash.Sum64String(string(n.options.Self.ID))) / math.MaxUint64
+	p.nextScan = n.now.Monotonic + time.Duration(n.source.Int64N(int64(min(initialScanDelay, n.options.PollInterval))))
+	p.scanBackoff = initialScanDelay
 	return p
 }
 
-// patience returns a time that is spread over the nodes, from shortest to twice
-// as long.
-func (p *membershipPart) patience(shortest time.Duration) time.Duration {
-	return shortest + time.Duration(p.spread*float64(shortest))
+// jittered returns a duration between shortest and twice shortest that differs
+// from node to node.
+func (p *membershipPart) jittered(shortest time.Duration) time.Duration {
+	return shortest + time.Duration(p.jitter*float64(shortest))
 }
 
-// roster returns the members of a failure domain that have not said that they
-// leave, with when each was last heard, in an order that all nodes share. It
-// includes those that are gone, with that state, and this node.
+// roster returns the members of a failure domain that have not left, with the
+// time when each was last seen, in an order that all nodes share. It includes
+// this node and the members that are gone, which have that state.
 func (p *membershipPart) roster(domain coltsfootward.FailureDomain) []membership.Member {
 	return p.machine.Roster(domain)
 }
 
-// instance returns where a member runs.
+// instance returns the instance of a member.
 func (p *membershipPart) instance(id coltsfootward.InstanceID) (coltsfootward.Instance, bool) {
 	member, ok := p.machine.Member(id)
 	return member.Announcement.Instance, ok
 }
 
-func (p *membershipPart) received(e MessageArrived) {
+func (p *membershipPart) messageReceived(e MessageArrived) {
 	p.machine.Receive(p.node.now, e.From, e.Message, e.Age)
 	p.local = p.machine.Local()
 }
 
-func (p *membershipPart) changed(old, news message.News) {
+func (p *membershipPart) memberChanged(old, news message.News) {
 	p.node.placement.changed(old, news)
 	instance := news.Announcement.Instance
 	if old.Announcement.Instance.Incarnation != instance.Incarnation || news.State == message.MemberLeft {
-		p.node.confirmation.forget(instance.ID)
+		p.node.confirmation.forgetMember(instance.ID)
 	}
 	if instance.Domain != p.node.options.Self.Domain || old.State == news.State {
 		return
@@ -127,7 +131,7 @@
 	}
 }
 
-func (p *membershipPart) reachable(domain coltsfootward.FailureDomain, reachable bool) {
+func (p *membershipPart) reachabilityChanged(domain coltsfootward.FailureDomain, reachable bool) {
 	code := record.DomainUnreachable
 	if reachable {
 		code = record.DomainReachable
@@ -151,8 +155,8 @@
 	p.node.upstream.start()
 }
 
-// coldChanged spreads that the local backend server is cold for another time than
-// was told.
+// coldChanged announces a changed remaining cold time of the local backend
+// server.
 func (p *membershipPart) coldChanged() {
 	if p.local.Service == "" {
 		return
@@ -161,9 +165,9 @@
 	p.publishLocal()
 }
 
-// backendLost takes the local backend server out until it announces itself
-// again: nothing listens at its address, so every request placed on it would
-// cost a hop for nothing.
+// backendLost withdraws the local backend server until it announces itself
+// again. Nothing listens at its address, so every request placed on it would
+// waste a hop.
 func (p *membershipPart) backendLost() {
 	if p.local.Service == "" {
 		return
@@ -178,122 +182,128 @@
 	p.publishLocal()
 }
 
-// publishLocal takes in what changed about the local backend server.
+// publishLocal applies a change of this node's own announcement.
 func (p *membershipPart) publishLocal() {
 	old := message.News{Announcement: p.local, State: message.MemberAlive}
 	p.local = p.machine.Local()
 	p.node.placement.changed(old, message.News{Announcement: p.local, State: message.MemberAlive})
 }
 
-func (p *membershipPart) left() { p.machine.Left() }
+func (p *membershipPart) announceStop() { p.machine.Left() }
 
 func (p *membershipPart) tick() {
 	p.machine.Tick(p.node.now)
-	p.noteRank()
-	if p.scanning || p.node.now.Monotonic < p.scan {
+	p.updateRank()
+	if p.scanning || p.node.now.Monotonic < p.nextScan {
 		return
 	}
 	p.machine.Contact(p.node.now, p.node.options.Contacts...)
-	if !p.lonely() && p.kept == noRank {
-		p.scan = p.node.now.Monotonic + contactInterval
+	if !p.isAlone() && p.rowRank == noRank {
+		p.nextScan = p.node.now.Monotonic + contactInterval
 		return
 	}
 	p.readContacts()
 }
 
-// noteRank follows this node's place among its domain's contacts. Whoever has
-// taken one for good makes its row right.
-func (p *membershipPart) noteRank() {
-	if rank := p.machine.Rank(contactRows); rank != p.rank {
-		p.rank, p.ranked = rank, p.node.now.Monotonic
+// updateRank tracks this node's rank among its failure domain's contacts. Once
+// the rank has settled, the node makes sure that its row in the table is
+// correct.
+func (p *membershipPart) updateRank() {
+	if rank := p.machine.Rank(contactsPerDomain); rank != p.rank {
+		p.rank, p.rankSince = rank, p.node.now.Monotonic
 	}
-	if p.rank == p.kept || p.lonely() || !p.scanned || !p.settled() {
+	if p.rank == p.rowRank || p.isAlone() || !p.contactsRead || !p.rankSettled() {
 		return
 	}
-	p.kept = p.rank
-	if p.kept != noRank {
-		p.keepRow()
+	p.rowRank = p.rank
+	if p.rowRank != noRank {
+		p.ensureRow()
 	}
 }
 
-// settled reports whether this node has had its place for long enough to act on it.
-func (p *membershipPart) settled() bool { return p.node.now.Monotonic-p.ranked >= settledRank }
+// rankSettled reports whether this node's rank has been stable for
+// rankSettleTime.
+func (p *membershipPart) rankSettled() bool {
+	return p.node.now.Monotonic-p.rankSince >= rankSettleTime
+}
 
 func (p *membershipPart) readContacts() {
 	p.scanning = true
-	p.node.table.scan(ContactPrefix, "", contactLimit, func(rows []coltsfootward.Row, err error) {
+	p.node.table.scan(ContactPrefix, "", contactScanLimit, func(rows []coltsfootward.Row, err error) {
 		p.scanning = false
 		if err != nil {
-			p.scan = p.node.now.Monotonic + p.node.spread(p.scanPause)
-			p.scanPause = min(2*p.scanPause, longestScan)
+			p.nextScan = p.node.now.Monotonic + p.node.spread(p.scanBackoff)
+			p.scanBackoff = min(2*p.scanBackoff, maxScanDelay)
 			return
 		}
-		p.scanned = true
-		p.scanPause = firstScan
-		p.scan = p.node.now.Monotonic + p.scanInterval()
-		p.contacts(rows)
+		p.contactsRead = true
+		p.scanBackoff = initialScanDelay
+		p.nextScan = p.node.now.Monotonic + p.scanInterval()
+		p.processContacts(rows)
 	})
 }
 
-// noRank is the place of a node that is not among the contacts.
+// noRank is the rank of a node that is not among the contacts.
 const noRank = -1
 
-func (p *membershipPart) lonely() bool { return p.machine.Size() == 1 }
+func (p *membershipPart) isAlone() bool { return p.machine.Size() == 1 }
 
 func (p *membershipPart) scanInterval() time.Duration {
-	if p.lonely() {
+	if p.isAlone() {
 		return p.node.options.PollInterval
 	}
 	return contactInterval
 }
 
-// contacts gets in touch with those that the table names, and puts this node in
-// its place among them. Nothing is written while the rows are right, so the
-// platform has no work from a system at rest.
-func (p *membershipPart) contacts(rows []coltsfootward.Row) {
+// processContacts contacts the instances listed in the table and makes sure
+// that this node's own row is correct if it should have one. Nothing is written
+// while the rows are correct, so a stable deployment causes no writes on the
+// platform.
+func (p *membershipPart) processContacts(rows []coltsfootward.Row) {
 	self := p.node.options.Self
 	p.contactDomains = p.contactDomains[:0]
-	p.rows = make(map[string]coltsfootward.Instance)
+	p.contactRows = make(map[string]coltsfootward.Instance)
 	domainKnown := false
 	for _, row := range rows {
 		var instance coltsfootward.Instance
 		if json.Unmarshal(row.Value, &instance) != nil {
 			continue
 		}
-		p.noteContact(instance)
-		p.rows[row.Key] = instance
+		p.addContact(instance)
+		p.contactRows[row.Key] = instance
 		domainKnown = domainKnown || instance.Domain == self.Domain && instance.ID != self.ID
 	}
-	if p.lonely() && domainKnown && p.node.now.Monotonic-p.began < contactPatience {
+	if p.isAlone() && domainKnown && p.node.now.Monotonic-p.started < contactTimeout {
 		return
 	}
-	if p.lonely() || p.kept != noRank {
-		p.keepRow()
+	if p.isAlone() || p.rowRank != noRank {
+		p.ensureRow()
 	}
 }
 
-// keepRow writes this node's row unless it was found right. A row of an earlier run
-// leads here as well.
-func (p *membershipPart) keepRow() {
+// ensureRow writes this node's row unless it is correct already. A row that
+// differs only in the incarnation counts as correct, since its address still
+// leads to this node.
+func (p *membershipPart) ensureRow() {
 	self := p.node.options.Self
-	key := ContactPrefix + string(self.Domain) + "/" + strconv.Itoa(max(p.kept, 0))
-	found := p.rows[key]
-	found.Incarnation = self.Incarnation
-	if found == self {
+	key := ContactPrefix + string(self.Domain) + "/" + strconv.Itoa(max(p.rowRank, 0))
+	row := p.contactRows[key]
+	row.Incarnation = self.Incarnation
+	if row == self {
 		return
 	}
-	p.rows[key] = self
-	p.writeContact(key)
+	p.contactRows[key] = self
+	p.writeContactRow(key)
 }
 
-func (p *membershipPart) noteContact(instance coltsfootward.Instance) {
+func (p *membershipPart) addContact(instance coltsfootward.Instance) {
 	if !slices.Contains(p.contactDomains, instance.Domain) {
 		p.contactDomains = append(p.contactDomains, instance.Domain)
 	}
 	p.machine.Contact(p.node.now, instance)
 }
 
-func (p *membershipPart) writeContact(key string) {
+func (p *membershipPart) writeContactRow(key string) {
 	value, err := json.Marshal(p.node.options.Self)
 	if err != nil {
 		return
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -11,16 +11,16 @@
 	"coltsfootward/core/record"
 )
 
-// Node is the machine. Create it with New.
+// Node is the state machine of one node. Create it with New.
 type Node struct {
 	options Options
 	source  *rand.Rand
 	now     coltsfootward.Instant
 	actions []Action
-	// draining is set once the node takes no new work.
+	// draining is set once the node accepts no new work.
 	draining bool
 	drained  bool
-	// finishing is set once callers have been let go.
+	// finishing is set once the callers' connections have been closed.
 	finishing bool
 
 	configuration *configurationPart
@@ -31,7 +31,7 @@
 	rate          *ratePart
 	lease         *leasePart
 	assigned      *assignedSlots
-	slots         slotHolders
+	slots         slotDirectory
 	meter         pressure.Meter
 	throttle      pressure.Throttle
 	callees       pressure.Callees
@@ -43,7 +43,7 @@
 	table         *tablePart
 }
 
-// New returns a node that has read no configuration and knows no peer. All
+// New returns a node that has no configuration yet and knows no peer. All
 // random choices come from source.
 func New(options Options, source *rand.Rand, now coltsfootward.Instant) *Node {
 	n := &Node{options: options.WithDefaults(), source: source, now: now}
@@ -67,8 +67,8 @@
 	return n
 }
 
-// Handle takes one event and returns what is to be done, in order. The slice
-// is the caller's to keep.
+// Handle processes one event and returns the resulting actions in the order in
+// which the driver must carry them out. The caller owns the slice.
 func (n *Node) Handle(now coltsfootward.Instant, event Event) []Action {
 	n.now = now
 	n.dispatchEvent(event)
@@ -98,7 +98,7 @@
 	case DispatchEnded:
 		n.upstream.ended(e)
 	case MessageArrived:
-		n.message(e)
+		n.handleMessage(e)
 	case PeerLost:
 		n.placement.peerLost(e.Instance)
 		n.lease.peerLost(e.Instance)
@@ -109,7 +109,7 @@
 	case DrainRequested:
 		n.drain()
 	case TableAnswered:
-		n.table.answered(e)
+		n.table.operationAnswered(e)
 	case ConfigurationRead:
 		n.configuration.adopt(e.Configuration)
 	case DomainsRead:
@@ -122,23 +122,26 @@
 }
 
 const (
-	// quickTick is the time between two ticks while something waits that may be
-	// over at any moment, restTick that between two ticks else.
-	quickTick = 10 * time.Millisecond
-	restTick  = 50 * time.Millisecond
+	// activeTickInterval is the tick interval while requests are queued, token
+	// draws are pending or the deployment is not routed; idleTickInterval
+	// applies otherwise.
+	activeTickInterval = 10 * time.Millisecond
+	idleTickInterval   = 50 * time.Millisecond
 )
 
-// NextTick returns after how long the node wants its next Tick. A node at rest is
-// woken seldom: hundreds of wake-ups a second would be most of what it costs.
+// NextTick returns the delay until the node's next Tick. An idle node uses a
+// long interval, because hundreds of wake-ups a second would make up most of
+// its cost.
 func (n *Node) NextTick() time.Duration {
-	if !n.options.Routed || n.upstream.admission.Queued() > 0 || len(n.rate.draws) > 0 {
-		return quickTick
+	if !n.options.Routed || n.upstream.admission.Queued() > 0 || len(n.rate.pendingDraws) > 0 {
+		return activeTickInterval
 	}
-	return restTick
+	return idleTickInterval
 }
 
-// tick lets time pass. A node of a routed deployment has no leases, claims or
-// operators' confirmations to look after.
+// tick runs the timers of all components. A node of a routed deployment has no
+// leases, no claims and no confirmations of changes, and leaves their
+// components out.
 func (n *Node) tick() {
 	n.membership.tick()
 	if n.options.Routed {
@@ -154,47 +157,47 @@
 	n.entry.tick()
 }
 
-func (n *Node) message(e MessageArrived) {
-	n.lease.heard(e.From)
-	n.membership.received(e)
+func (n *Node) handleMessage(e MessageArrived) {
+	n.lease.messageReceived(e.From)
+	n.membership.messageReceived(e)
 	if from, ok := n.membership.instance(e.From); ok {
-		n.assigned.heardFrom(from)
+		n.assigned.messageReceived(from)
 	}
-	n.configuration.askFirst(e.From)
+	n.configuration.requestDocument(e.From)
 	switch m := e.Message.(type) {
 	case *message.Gossip:
-		n.configuration.digest(e, m.Digest)
+		n.configuration.digestReceived(e, m.Digest)
 	case *message.Probe:
-		n.configuration.digest(e, m.Gossip.Digest)
+		n.configuration.digestReceived(e, m.Gossip.Digest)
 	case *message.ProbeRequest:
-		n.configuration.digest(e, m.Gossip.Digest)
+		n.configuration.digestReceived(e, m.Gossip.Digest)
 	case *message.ProbeAnswer:
-		n.configuration.digest(e, m.Gossip.Digest)
+		n.configuration.digestReceived(e, m.Gossip.Digest)
 	case *message.ClaimRequest, *message.ClaimVerdict, *message.ClaimHandover, *message.ClaimEnd, *message.ClaimEndTaken:
-		n.claims.message(e)
+		n.claims.messageReceived(e)
 	case *message.ConfigurationDigest:
-		n.configuration.digest(e, *m)
+		n.configuration.digestReceived(e, *m)
 	case *message.ConfigurationPull:
-		n.configuration.pull(e.From, *m)
+		n.configuration.pullReceived(e.From, *m)
 	case *message.ConfigurationChanges:
-		n.configuration.changes(e.From, *m)
+		n.configuration.changesReceived(e.From, *m)
 	case *message.ConfigurationWhole:
 		n.domains.adopt(m.OutOfService)
 		n.configuration.adopt(m.Configuration())
 	case *message.Draw:
-		n.rate.drawn(*m)
+		n.rate.drawReceived(*m)
 	case *message.Grant:
-		n.rate.answered(*m)
+		n.rate.grantReceived(*m)
 	case *message.SlotOffer:
-		n.lease.takeOffer(*m)
+		n.lease.offerReceived(*m)
 	case *message.ConfigurationPage:
-		n.configuration.page(e.From, *m)
+		n.configuration.pageReceived(e.From, *m)
 	case *message.Confirmation:
-		n.confirmation.received(e.From, *m)
+		n.confirmation.confirmationReceived(e.From, *m)
 	case *message.ConfirmationQuery:
-		n.confirmation.query(e.From, *m)
+		n.confirmation.queryReceived(e.From, *m)
 	case *message.DomainConfirmation:
-		n.confirmation.answered(*m)
+		n.confirmation.answerReceived(*m)
 	}
 }
 
@@ -210,17 +213,17 @@
 	}
 }
 
-// checkDrained reports the end of a drain once: nothing may be in hand, since
-// a planned stop cuts off no request.
+// checkDrained emits Drained once, when a draining node has no request in
+// progress. A planned stop must not interrupt a request.
 func (n *Node) checkDrained() {
 	if n.options.Routed && !n.finishing {
 		return
 	}
-	if !n.draining || n.drained || n.entry.count() > 0 || n.upstream.count() > 0 || n.lease.leaving() {
+	if !n.draining || n.drained || n.entry.count() > 0 || n.upstream.count() > 0 || n.lease.releasePending() {
 		return
 	}
 	n.drained = true
-	n.membership.left()
+	n.membership.announceStop()
 	n.act(Drained{})
 }
 
--- a/core/node/options.go
+++ b/core/node/options.go
@@ -9,74 +9,83 @@
 	"coltsfootward/core/retry"
 )
 
-// Options are a node's settings as far as the decisions need them. The zero
-// value of each field but Self means its default.
+// Options are the settings of a node's state machine. The zero value of each
+// field except Self selects its default.
 type Options struct {
-	// Self is this node.
+	// Self is the instance that this node runs on.
 	Self coltsfootward.Instance
 	// Domains lists every failure domain of the deployment.
 	Domains []coltsfootward.FailureDomain
-	// Attempts bounds the attempts of one request over the whole chain, the
-	// first ones included. The default is 128: with so many the first request of
-	// all passes seven services, each of which keeps half back for a second call
-	// until it has seen that there is none. Later requests need seven.
+	// Attempts bounds the attempts of one request over the whole call chain,
+	// first attempts included. The default is 128. With it, the first request
+	// ever sent passes through a chain of seven services, where each service
+	// reserves half of its attempts for a second call until it has learned that
+	// there is none. Later requests through such a chain need seven attempts.
 	Attempts int
-	// Timeout bounds a request that brings none. The default is 10 s.
+	// Timeout applies to requests that set none. The default is 10 s.
 	Timeout time.Duration
-	// MaximumTimeout caps what a caller may ask for. The default is 60 s.
+	// MaximumTimeout caps the timeout that a caller may set. The default is 60
+	// s.
 	MaximumTimeout time.Duration
-	// ClaimWindow is how long the claims on idempotency keys are remembered. A
-	// key that carries no time runs at most once within it. The default is 10 min.
+	// ClaimWindow is the retention period of claims on idempotency keys. A key
+	// without a timestamp runs at most once within this period. The default is
+	// 10 min.
 	ClaimWindow time.Duration
-	// ClaimClockMargin is how far the wall clocks of callers and nodes may
-	// differ. The default is 5 s.
+	// ClaimClockMargin is the largest tolerated difference between the wall
+	// clocks of callers and nodes. The default is 5 s.
 	ClaimClockMargin time.Duration
-	// MaximumClaims bounds the claims remembered for each slot that this node
-	// holds. Beyond it further keys are refused. The default is 100 000.
+	// MaximumClaims bounds the claims retained for each slot that this node
+	// holds. New keys beyond the limit are refused. The default is 100 000.
 	MaximumClaims int
-	// KeptAnswerBytes bounds the memory for answers that are kept for repeats,
-	// for each slot that this node holds. The default is 16 MiB.
+	// KeptAnswerBytes bounds the memory for answers that are retained for
+	// repeated requests, for each slot that this node holds. The default is 16
+	// MiB.
 	KeptAnswerBytes int
-	// PollInterval is the time between two reads of the configuration's
-	// revision. The default is 1 s.
+	// PollInterval is the time between two reads of the configuration changes
+	// from the table. The default is 1 s.
 	PollInterval time.Duration
-	// Slots is the number of slots in each failure domain; every node of the
-	// deployment has the same. The default is 4.
+	// Slots is the number of slots in each failure domain. All nodes of a
+	// deployment must use the same value. The default is 4.
 	Slots int
-	// Routed is set for deployments whose requests are routed by host and path,
-	// whose configuration is one document that comes as ConfigurationRead, and
-	// where each slot of the rate belongs to a node by the roster alone.
+	// Routed is set for deployments that route requests by host and path. Their
+	// configuration is a single document, which arrives as ConfigurationRead,
+	// and their slots are assigned to nodes from the membership roster alone,
+	// without leases.
 	Routed bool
-	// Service is the service beside this node; backend servers of a routed
-	// deployment are told where a request entered.
+	// Service is the service that runs beside this node. In a routed deployment
+	// it is passed to backend servers as the service through which a request
+	// entered.
 	Service coltsfootward.ServiceName
-	// ConfigurationSpread is how long a change of the configuration may take to
-	// reach every holder of a slot. The default is the target's 13 s.
+	// ConfigurationSpread is the longest time that a configuration change takes
+	// to reach every slot holder. The default, 13 s, is the target for changes
+	// to be in force everywhere.
 	ConfigurationSpread time.Duration
-	// RetryShare is what all repeats at a service of a routed deployment may be
-	// of its requests; the default is retry.Ratio.
+	// RetryShare bounds the retries for a service of a routed deployment, as a
+	// fraction of the service's requests. The default is retry.Ratio.
 	RetryShare float64
-	// RetryCapacity is how many retries for one service all nodes of a routed
-	// deployment together may save up. The default is 48.
+	// RetryCapacity is the burst of retries for one service that all nodes of a
+	// routed deployment may save up together. The default is 48.
 	RetryCapacity float64
-	// LeaseTerm is how long a node holds a slot without the platform's answer.
-	// The default is 1 min.
+	// LeaseTerm is how long a node holds a slot after its last successful
+	// renewal. The default is 1 min.
 	LeaseTerm time.Duration
-	// LeaseMargin is what a claimant of a slot waits beyond the holder's term.
-	// The default is 1 s.
+	// LeaseMargin is the extra time that a claimant of a slot waits after the
+	// holder's term. The default is 1 s.
 	LeaseMargin time.Duration
-	// Contacts are instances that the node tries to reach at its start, besides
-	// those that the table names. Empty means only the table's.
+	// Contacts are instances that the node contacts at its start, in addition
+	// to those in the table. If it is empty, only the table's contacts are
+	// used.
 	Contacts []coltsfootward.Instance
-	// KeyGrace is how long a node goes on honouring keys that hears neither of
-	// the platform nor of most failure domains. A longer one serves callers
-	// through longer cuts; a key withdrawn meanwhile works behind the cut for
-	// as long. A failure domain that Domains lists counts as unheard if nothing
-	// runs there. The default is 10 min.
+	// KeyGrace is how long a node that receives no sign of the platform and
+	// none from most failure domains keeps accepting keys. A longer period
+	// serves callers through longer network partitions, and a key that is
+	// withdrawn during a partition keeps working on the isolated side for as
+	// long. A failure domain in Domains that has no running node counts as
+	// unreachable. The default is 10 min.
 	KeyGrace time.Duration
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	DefaultAttempts       = 128
 	DefaultTimeout        = 10 * time.Second
@@ -89,7 +98,7 @@
 	DefaultRetryCapacity       = 48
 )
 
-// WithDefaults returns a copy in which every field that was zero has its default.
+// WithDefaults returns a copy in which every zero field is set to its default.
 func (o Options) WithDefaults() Options {
 	if o.Attempts <= 0 {
 		o.Attempts = DefaultAttempts
--- a/core/node/rate.go
+++ b/core/node/rate.go
@@ -8,22 +8,26 @@
 )
 
 const (
-	// spendSpare is how much of a token's life must be left for the way to the
-	// upstream's node.
-	spendSpare = 2 * time.Millisecond
-	// retrySpread is the least time over which refused callers are spread.
-	retrySpread = 200 * time.Millisecond
+	// minRemainingLifetime is the lifetime that a token must have left when it
+	// is spent, so that the request reaches the upstream's node before the
+	// token expires.
+	minRemainingLifetime = 2 * time.Millisecond
+	// minRetrySpread is the shortest interval over which the retries of refused
+	// callers are spread.
+	minRetrySpread = 200 * time.Millisecond
 )
 
-// admission entitles one attempt to start, for a short time.
+// admission entitles one attempt to start until it expires.
 type admission struct {
-	// expires is when it ends, by Instant.Expiry; zero means that it does not.
+	// expires is when the admission ends, by Instant.Expiry; zero means that it
+	// does not expire.
 	expires time.Duration
-	// token is the drawn token that the attempt spends.
+	// token is the token that the attempt spends.
 	token rate.Chunk
 }
 
-// remaining returns how long the admission lasts from now; zero means no limit.
+// remaining returns how long the admission is still valid; zero means without
+// limit.
 func (a admission) remaining(now coltsfootward.Instant) time.Duration {
 	if a.expires == 0 {
 		return 0
@@ -31,51 +35,57 @@
 	return max(a.expires-now.Expiry, time.Nanosecond)
 }
 
-// account is an organisation at this node: what it may draw and what it has.
+// account is the rate limiting state of one organisation at this node.
 type account struct {
 	name   coltsfootward.OrganisationName
 	whole  coltsfootward.Rate
 	share  rate.Share
 	purse  rate.Purse
 	demand rate.Demand
-	// created is set if this node saw the organisation being created.
-	created bool
-	// since is when this node first saw it, by Instant.Monotonic.
-	since time.Duration
-	// life is the shortest life of a token of the present division.
-	life time.Duration
-	// parts says for each part of the division what the last answer said.
+	// creationSeen is set if the organisation was created while this node was
+	// running.
+	creationSeen bool
+	// firstSeen is when this node first learned of the organisation, by
+	// Instant.Monotonic.
+	firstSeen time.Duration
+	// tokenLifetime is the shortest token lifetime among the parts of the
+	// current division.
+	tokenLifetime time.Duration
+	// parts holds the last reported state of each part of the division.
 	parts []partView
-	// waiting are those who need a token, in the order of their arrival.
-	waiting []tokenWaiter
-	// drawing is set while a draw for waiting calls is under way.
-	drawing *pendingDraw
-	// ahead is when to draw ahead again, by Instant.Monotonic.
-	ahead time.Duration
-}
-
-// ratePart holds each organisation to its rate and burst over the fleet: it
-// spends tokens drawn from the slots' holders, and grants them for the slots
-// that this node holds.
+	// waiters are the requests that wait for a token, in the order of their
+	// arrival.
+	waiters []tokenWaiter
+	// activeDraw is the draw whose answer the waiters wait for, or nil.
+	activeDraw *pendingDraw
+	// nextPrefetch is the earliest time of the next prefetch, by
+	// Instant.Monotonic.
+	nextPrefetch time.Duration
+}
+
+// ratePart enforces each organisation's rate and burst over all nodes together.
+// It draws tokens from the slot holders and spends them, and it grants tokens
+// for the slots that this node holds.
 type ratePart struct {
-	node     *Node
-	revision coltsfootward.Revision
-	accounts map[coltsfootward.OrganisationName]*account
-	buckets  map[bucketID]*heldBucket
-	draws    map[uint64]*pendingDraw
-	nextDraw uint64
+	node         *Node
+	revision     coltsfootward.Revision
+	accounts     map[coltsfootward.OrganisationName]*account
+	buckets      map[bucketID]*heldBucket
+	pendingDraws map[uint64]*pendingDraw
+	lastDrawID   uint64
 }
 
 func newRatePart(n *Node) *ratePart {
 	return &ratePart{
-		node:     n,
-		accounts: make(map[coltsfootward.OrganisationName]*account),
-		buckets:  make(map[bucketID]*heldBucket),
-		draws:    make(map[uint64]*pendingDraw),
+		node:         n,
+		accounts:     make(map[coltsfootward.OrganisationName]*account),
+		buckets:      make(map[bucketID]*heldBucket),
+		pendingDraws: make(map[uint64]*pendingDraw),
 	}
 }
 
-// acquire answers the waiter, now or later.
+// acquire requests a token for the waiter. The waiter is notified of the
+// outcome, during this call or later.
 func (p *ratePart) acquire(w tokenWaiter) {
 	p.refresh()
 	a, ok := p.accounts[w.organisation()]
@@ -84,33 +94,33 @@
 		return
 	}
 	a.demand.Note(p.node.now)
-	a.waiting = append(a.waiting, w)
-	p.serve(a)
-	p.pump(a)
-	p.stock(a)
+	a.waiters = append(a.waiters, w)
+	p.serveWaiters(a)
+	p.drawForWaiters(a)
+	p.prefetch(a)
 }
 
-// serve gives the tokens at hand to those who wait.
-func (p *ratePart) serve(a *account) {
-	for len(a.waiting) > 0 {
-		w := a.waiting[0]
+// serveWaiters hands the available tokens to the waiters in order.
+func (p *ratePart) serveWaiters(a *account) {
+	for len(a.waiters) > 0 {
+		w := a.waiters[0]
 		if !w.waits() {
-			a.waiting = a.waiting[1:]
+			a.waiters = a.waiters[1:]
 			continue
 		}
-		token, ok := a.purse.Take(p.node.now, spendSpare)
+		token, ok := a.purse.Take(p.node.now, minRemainingLifetime)
 		if !ok {
 			return
 		}
-		a.waiting = a.waiting[1:]
+		a.waiters = a.waiters[1:]
 		w.admitted(admission{expires: token.Expires, token: token})
 	}
 }
 
-// refuse ends the wait of all: no part has a token.
-func (p *ratePart) refuse(a *account) {
-	waiting := a.waiting
-	a.waiting = nil
+// refuseWaiters refuses all waiters; it is called when no part has a token.
+func (p *ratePart) refuseWaiters(a *account) {
+	waiting := a.waiters
+	a.waiters = nil
 	evidence := p.evidence(a)
 	for _, w := range waiting {
 		if w.waits() {
@@ -119,8 +129,8 @@
 	}
 }
 
-// retryAfter says when the first part will have a token again, spread so that
-// callers refused together do not return together.
+// retryAfter returns the time until the first part has a token again, plus a
+// random delay, so that callers refused together do not return together.
 func (p *ratePart) retryAfter(a *account) time.Duration {
 	first := time.Duration(-1)
 	for _, view := range a.parts {
@@ -130,15 +140,15 @@
 		}
 	}
 	first = max(first, 0)
-	return first + time.Duration(p.node.source.Int64N(int64(max(first, retrySpread))))
+	return first + time.Duration(p.node.source.Int64N(int64(max(first, minRetrySpread))))
 }
 
-// release takes back an admission that was not spent, for another request
-// within the token's life. The zero admission is none.
+// release makes the token of an unspent admission available to another request,
+// as long as the token has not expired. The zero admission is ignored.
 //
-// Nothing goes back to the holder's bucket. The bucket may have been full in
-// the meantime, with the token's place refilled already; after a further draw
-// the returned token would come on top of what the depth allows.
+// The token is not returned to the holder's bucket. That bucket may have been
+// full in the meantime and have refilled the token's room already; after a
+// further draw the returned token would exceed the bucket's depth.
 func (p *ratePart) release(organisation coltsfootward.OrganisationName, unspent admission) {
 	a, ok := p.accounts[organisation]
 	if !ok || unspent.token.Tokens == 0 || unspent.expires <= p.node.now.Expiry {
@@ -152,22 +162,22 @@
 	p.expireDraws()
 }
 
-// applied follows changes one by one: a change that lowers a part and one that
-// raises it again would together look like none.
-func (p *ratePart) applied(changes []coltsfootward.Change) {
+// applyChanges processes the changes one by one. A change that lowers a part,
+// followed by one that raises it again, would otherwise go unnoticed.
+func (p *ratePart) applyChanges(changes []coltsfootward.Change) {
 	if p.revision == 0 {
 		return
 	}
 	for _, change := range changes {
 		if change.Organisation != nil {
-			p.organisation(*change.Organisation, true)
+			p.updateAccount(*change.Organisation, true)
 		}
 	}
 	p.revision = changes[len(changes)-1].Revision
 }
 
-// refresh takes in a configuration that did not come as changes: the first one
-// after the start, or a whole one.
+// refresh applies a configuration that did not arrive as changes: the first one
+// after the start, or a full one.
 func (p *ratePart) refresh() {
 	configuration := p.node.configuration.current
 	if configuration.Revision() == p.revision {
@@ -176,34 +186,35 @@
 	first := p.revision == 0
 	p.revision = configuration.Revision()
 	for _, organisation := range configuration.Organisations() {
-		p.organisation(organisation, !first)
+		p.updateAccount(organisation, !first)
 	}
 }
 
-func (p *ratePart) organisation(o coltsfootward.Organisation, created bool) {
+func (p *ratePart) updateAccount(o coltsfootward.Organisation, created bool) {
 	a, ok := p.accounts[o.Name]
 	if !ok {
-		a = &account{name: o.Name, created: created, since: p.node.now.Monotonic}
+		a = &account{name: o.Name, creationSeen: created, firstSeen: p.node.now.Monotonic}
 		p.accounts[o.Name] = a
 	}
 	if !ok || a.whole != o.Rate {
-		p.change(a, o.Rate)
+		p.setLimit(a, o.Rate)
 	}
 }
 
-// raiseDelay is how long a part is raised after others were lowered: every
-// holder has lowered by then, and what it granted before is spent or void.
+// raiseDelay returns the delay between the lowering of some parts and the
+// raising of others. After it, every holder has lowered its part, and the
+// tokens granted before are spent or expired.
 func (p *ratePart) raiseDelay() time.Duration {
 	return p.node.options.ConfigurationSpread + rate.MaximumLife
 }
 
-func (p *ratePart) change(a *account, whole coltsfootward.Rate) {
+func (p *ratePart) setLimit(a *account, whole coltsfootward.Rate) {
 	a.whole = whole
 	division := rate.Divide(a.name, whole, p.node.options.Domains, p.node.options.Slots)
 	a.share.Change(p.node.now, division, p.raiseDelay())
 	a.parts = make([]partView, len(division))
-	a.life = rate.MaximumLife
+	a.tokenLifetime = rate.MaximumLife
 	for _, part := range division {
-		a.life = min(a.life, part.Shape().Life)
+		a.tokenLifetime = min(a.tokenLifetime, part.Shape().Life)
 	}
 }
--- a/core/node/restore.go
+++ b/core/node/restore.go
@@ -9,12 +9,12 @@
 	"coltsfootward"
 )
 
-// ObjectPrefix is where the table keeps the last change of each object: all of
-// them together are the whole configuration.
+// ObjectPrefix is the key prefix under which the table stores the last change
+// of each object. Together these changes form the full configuration.
 const ObjectPrefix = "object/"
 
-// ObjectKey returns the key of the row that holds the last change of the object
-// that the change is about.
+// ObjectKey returns the key of the row that stores the last change of the
+// object that change is about.
 func ObjectKey(change coltsfootward.Change) string {
 	switch {
 	case change.Organisation != nil:
@@ -26,25 +26,27 @@
 	}
 }
 
-// ParseRevision reads the value of the row RevisionKey; an empty one is zero.
+// ParseRevision parses the value of the row RevisionKey. An empty value is
+// revision zero.
 func ParseRevision(value []byte) (coltsfootward.Revision, error) {
 	if len(value) == 0 {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("node: the table holds an invalid revision %q: restore the row from the last change: %w", value, err)
+		return 0, fmt.Errorf("node: invalid revision %q in the table row \"revision\": restore the row from the last change: %w", value, err)
 	}
 	return coltsfootward.Revision(n), nil
 }
 
-// restore reads the whole configuration from the table's objects. A node needs
-// it whose next change the table has dropped already and who has no peer to ask.
+// restore reads the full configuration from the table's objects. It is used
+// when the table has already deleted the next change that the node needs and no
+// peer has supplied it.
 //
-// The revision is read first and the objects page by page after it, while
-// operators go on changing them. So an object may be newer than the revision;
-// the changes after the revision are applied next, and one that is older than
-// what its object holds already leaves the object alone.
+// The revision is read first, then the objects page by page, while operators
+// may make further changes. An object may therefore be newer than the revision.
+// The changes after the revision are applied next, and a change that is older
+// than its object is ignored.
 func (p *configurationPart) restore() {
 	p.scanning = true
 	p.node.table.read(RevisionKey, func(row coltsfootward.Row, err error) {
@@ -64,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		gathered, after, ok := gather(gathered, rows, after)
+		gathered, after, ok := addObjects(gathered, rows, after)
 		if !ok {
 			return
 		}
@@ -74,14 +76,15 @@
 		}
 		if revision > p.current.Revision() {
 			p.install(gathered.WithRevision(revision))
-			p.asked, p.poll = true, 0
+			p.refreshRequested, p.nextPoll = true, 0
 		}
 	})
 }
 
-// gather adds the objects of a page. Each object occurs once, so their order
-// does not matter; they are sorted because Apply passes over older changes.
-func gather(c coltsfootward.Configuration, rows []coltsfootward.Row, after string) (coltsfootward.Configuration, string, bool) {
+// addObjects adds the objects of a page to the configuration. Each object
+// occurs only once, so their order does not matter, but Apply ignores older
+// changes, so they are sorted by revision.
+func addObjects(c coltsfootward.Configuration, rows []coltsfootward.Row, after string) (coltsfootward.Configuration, string, bool) {
 	changes := decodeChanges(rows)
 	if len(changes) < len(rows) {
 		return c, after, false
--- a/core/node/slots.go
+++ b/core/node/slots.go
@@ -9,44 +9,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slotTerm is this node's own term of a slot.
+// slotTerm is a term for which this node holds a slot.
 type slotTerm struct {
 	epoch uint64
 	began coltsfootward.Instant
-	// first is set if nobody held the lease before.
+	// first is set if the slot had no earlier holder that granted anything.
 	first bool
 }
 
-// releasedSlot is a slot that this node has given up for good.
+// releasedSlot is a slot that this node has released for good.
 type releasedSlot struct {
 	id    slotID
 	epoch uint64
-	// successors are those who may take it over.
+	// successors are the candidates to take the slot over.
 	successors []coltsfootward.Instance
 }
 
-// slotHolders says who holds which slot.
-type slotHolders interface {
-	// count is the number of slots in each failure domain.
+// slotDirectory finds the holders of slots.
+type slotDirectory interface {
+	// count returns the number of slots in each failure domain.
 	count() int
-	// own lists the slots of this node's failure domain.
-	own() []slotID
-	// holder returns the instance that is believed to hold the slot.
+	// localSlots lists the slots of this node's failure domain.
+	localSlots() []slotID
+	// holder returns the instance that is assumed to hold the slot.
 	holder(id slotID) (coltsfootward.Instance, bool)
-	// known returns the holder of an own slot as this node last saw it, for one
-	// that asked in vain; empty if unknown.
-	known(id slotID) coltsfootward.Instance
-	// elsewhere notes that whoever was asked does not hold the slot, and who
-	// does if that is known.
-	elsewhere(id slotID, holder coltsfootward.Instance)
-	// term returns this node's term of the slot if its lease stands now.
+	// lastKnownHolder returns the holder of a slot in this node's failure
+	// domain, as last seen by this node, for a peer that asked this node in
+	// error. It is empty if the holder is unknown.
+	lastKnownHolder(id slotID) coltsfootward.Instance
+	// noteHolder records that the instance asked last does not hold the slot.
+	// holder is the actual holder, or empty if it is unknown.
+	noteHolder(id slotID, holder coltsfootward.Instance)
+	// term returns this node's term of the slot if the node holds the slot now.
 	term(id slotID) (slotTerm, bool)
-	// released lists the slots that this node is giving up.
-	released() []releasedSlot
+	// takeReleased returns the slots that were released since the last call.
+	takeReleased() []releasedSlot
 }
 
-// slotOf returns the slot of a key, the same at every node: in the failure
-// domain that the key names, else in one that its hash chooses.
+// slotOf returns the slot of a key; all nodes compute the same one. The slot is
+// in the failure domain that the key names, or else in one chosen by the key's
+// hash.
 func (p *claimsPart) slotOf(key claim.Key) slotID {
 	hash := xxhash.Sum64String(string(key.Organisation) + "\x00" + key.Text)
 	domains := p.node.options.Domains
@@ -60,15 +62,15 @@
 	return slotID{domain: domain, index: int(hash / uint64(len(domains)) % uint64(p.slots.count()))}
 }
 
-// leasedSlots knows the holders of the slots' leases.
+// leasedSlots finds the holders by the slots' leases.
 type leasedSlots struct{ node *Node }
 
 func (l leasedSlots) count() int { return l.node.options.Slots }
 
-func (l leasedSlots) own() []slotID { return ownSlots(l.node) }
+func (l leasedSlots) localSlots() []slotID { return localSlots(l.node) }
 
-// ownSlots lists the slots of the node's failure domain.
-func ownSlots(n *Node) []slotID {
+// localSlots lists the slots of the node's failure domain.
+func localSlots(n *Node) []slotID {
 	all := make([]slotID, n.options.Slots)
 	for i := range all {
 		all[i] = slotID{domain: n.options.Self.Domain, index: i}
@@ -78,22 +80,24 @@
 
 func (l leasedSlots) holder(id slotID) (coltsfootward.Instance, bool) { return l.node.lease.holder(id) }
 
-func (l leasedSlots) known(id slotID) coltsfootward.Instance { return l.node.lease.known(id) }
+func (l leasedSlots) lastKnownHolder(id slotID) coltsfootward.Instance {
+	return l.node.lease.lastKnownHolder(id)
+}
 
-func (l leasedSlots) elsewhere(id slotID, holder coltsfootward.Instance) {
+func (l leasedSlots) noteHolder(id slotID, holder coltsfootward.Instance) {
 	if holder.ID == "" {
-		l.node.lease.holderFailed(id)
+		l.node.lease.holderMissed(id)
 		return
 	}
-	l.node.lease.holderAnswered(id, holder)
+	l.node.lease.setHolder(id, holder)
 }
 
 func (l leasedSlots) term(id slotID) (slotTerm, bool) {
-	slot, ok := l.node.lease.own(id)
+	slot, ok := l.node.lease.localSlot(id)
 	if !ok || !slot.Held(l.node.now) {
 		return slotTerm{}, false
 	}
 	return slotTerm{epoch: slot.Epoch(), began: slot.Began(), first: slot.First()}, true
 }
 
-func (l leasedSlots) released() []releasedSlot { return l.node.lease.takeReleased() }
+func (l leasedSlots) takeReleased() []releasedSlot { return l.node.lease.takeReleased() }
--- a/core/node/snapshot.go
+++ b/core/node/snapshot.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	// pageBytes bounds a message with parts of the configuration to a quarter
-	// of what peers accept in one frame.
+	// pageBytes limits a message with configuration content to a quarter of the
+	// frame size that peers accept.
 	pageBytes = 256 << 10
-	// changeBytes and markBytes are generous estimates of what a change, or any
-	// of its objects, and each of a service's marks take on the wire.
+	// changeBytes and markBytes are generous estimates of encoded sizes:
+	// changeBytes of a change or a single object, markBytes of each of a
+	// service's marks.
 	changeBytes = 512
 	markBytes   = 256
 )
 
-// boundedChanges returns as many of the first changes as fit in one message.
+// boundedChanges returns the longest prefix of the changes that fits in one
+// message, but at least one change.
 func boundedChanges(changes []coltsfootward.Change) []coltsfootward.Change {
 	size := 0
 	for i, change := range changes {
@@ -31,15 +33,15 @@
 	return changes
 }
 
-// servedSnapshot is the configuration that a node is handing out in pages, so
-// that changes meanwhile do not tear them apart.
+// servedSnapshot is the configuration that a node currently serves in pages. It
+// is stored, so that later changes do not make the pages inconsistent.
 type servedSnapshot struct {
 	revision coltsfootward.Revision
 	pages    []message.ConfigurationPage
 }
 
-// servePage sends one page of the snapshot that is asked for, or the first page
-// of the present one if that is not at hand any more.
+// servePage sends the requested page of a snapshot. If that snapshot is no
+// longer available, it sends the first page of the current one.
 func (p *configurationPart) servePage(to coltsfootward.InstanceID, m message.ConfigurationPull) {
 	page := m.Page
 	if m.Snapshot == 0 || m.Snapshot != p.served.revision || page < 0 || page >= len(p.served.pages) {
@@ -51,11 +53,11 @@
 	p.send(to, &p.served.pages[page])
 }
 
-// pagesOf divides a configuration into messages of bounded size.
+// pagesOf splits a configuration into messages of bounded size.
 func pagesOf(c coltsfootward.Configuration) []message.ConfigurationPage {
 	pages := []message.ConfigurationPage{{}}
 	size := 0
-	next := func(bytes int) *message.ConfigurationPage {
+	pageFor := func(bytes int) *message.ConfigurationPage {
 		size += bytes
 		if size > pageBytes {
 			pages = append(pages, message.ConfigurationPage{})
@@ -64,15 +66,15 @@
 		return &pages[len(pages)-1]
 	}
 	for _, o := range c.Organisations() {
-		page := next(changeBytes)
+		page := pageFor(changeBytes)
 		page.Organisations = append(page.Organisations, o)
 	}
 	for _, k := range c.Keys() {
-		page := next(changeBytes)
+		page := pageFor(changeBytes)
 		page.Keys = append(page.Keys, k)
 	}
 	for _, s := range c.Services() {
-		page := next(changeBytes + markBytes*len(s.Marks))
+		page := pageFor(changeBytes + markBytes*len(s.Marks))
 		page.Services = append(page.Services, s)
 	}
 	for i := range pages {
@@ -81,7 +83,7 @@
 	return pages
 }
 
-// pageCollector gathers the pages of one snapshot from one peer.
+// pageCollector assembles the pages of one snapshot from one peer.
 type pageCollector struct {
 	from          coltsfootward.InstanceID
 	revision      coltsfootward.Revision
@@ -91,9 +93,10 @@
 	services      []coltsfootward.Service
 }
 
-// page takes in a page of a peer's snapshot. Only all pages of one revision, in
-// order, become a configuration, and only if that is newer than what is in force.
-func (p *configurationPart) page(from coltsfootward.InstanceID, m message.ConfigurationPage) {
+// pageReceived adds a page of a peer's snapshot. The configuration is installed
+// once all pages of one revision have arrived in order, provided that it is
+// newer than the one in force.
+func (p *configurationPart) pageReceived(from coltsfootward.InstanceID, m message.ConfigurationPage) {
 	if m.Revision <= p.current.Revision() {
 		return
 	}
@@ -108,7 +111,7 @@
 	c.organisations = append(c.organisations, m.Organisations...)
 	c.keys = append(c.keys, m.Keys...)
 	c.services = append(c.services, m.Services...)
-	p.pulled = p.node.now.Monotonic
+	p.lastPull = p.node.now.Monotonic
 	if c.next < m.Pages {
 		p.send(from, &message.ConfigurationPull{After: p.current.Revision(), Snapshot: m.Revision, Page: c.next})
 		return
@@ -121,5 +124,5 @@
 	p.current = c
 	p.history = nil
 	p.node.report(record.SnapshotInForce, field("revision", c.Revision().String()))
-	p.inForce(nil)
+	p.configurationChanged(nil)
 }
--- a/core/node/status.go
+++ b/core/node/status.go
@@ -5,23 +5,24 @@
 	"coltsfootward/core/message"
 )
 
-// UpstreamStatus is a backend server as this node knows it.
+// UpstreamStatus is the state of a backend server as seen by this node.
 type UpstreamStatus struct {
 	Announcement message.Announcement
 	State        message.MemberState
 	Load         message.Load
 }
 
-// Status is what a node says of itself to operators.
+// Status is the node's state as reported to operators.
 type Status struct {
 	Self              coltsfootward.Instance
 	Revision          coltsfootward.Revision
 	Draining          bool
 	PlatformAvailable bool
-	// KeysStopped is set while the node is cut off for longer than KeyGrace.
+	// KeysStopped is set while the node rejects all keys because it has been
+	// isolated for longer than KeyGrace.
 	KeysStopped bool
 	Upstreams   []UpstreamStatus
-	// Peers are the other nodes that run, as far as this one knows.
+	// Peers are the other nodes that this node considers running.
 	Peers []coltsfootward.Instance
 }
 
@@ -32,7 +33,7 @@
 		Self:              n.options.Self,
 		Revision:          n.configuration.current.Revision(),
 		Draining:          n.draining,
-		PlatformAvailable: !n.table.away,
+		PlatformAvailable: !n.table.unavailable,
 		KeysStopped:       n.configuration.contact.stopped,
 	}
 	for _, member := range n.membership.machine.All() {
@@ -52,7 +53,8 @@
 	return s
 }
 
-// Members returns how many nodes run, as far as this one knows, itself included.
+// Members returns the number of nodes that this node considers running, itself
+// included.
 func (n *Node) Members() int { return n.membership.machine.Size() }
 
 func (n *Node) loadOf(id coltsfootward.InstanceID) message.Load {
