--- a/core/pressure/callees.go
+++ b/core/pressure/callees.go
@@ -9,394 +9,420 @@
 )
 
 const (
-	// calleeWindow is the time over which calls and requests in service are
-	// counted together, and calleeWindows how many windows are kept open: longer
-	// than nearly every request is in service. What a longer one did before counts
-	// for nobody.
-	calleeWindow  = 100 * time.Millisecond
-	calleeWindows = 8
-	// calleeFade is what remains of the sums from one window to the next: they
+	// callWindow is the length of the windows in which calls and requests in service
+	// are counted, and openWindows is the number of windows kept open. Together they
+	// are longer than nearly every request is in service. The part of a longer
+	// request before the oldest open window is not counted.
+	callWindow  = 100 * time.Millisecond
+	openWindows = 8
+	// windowDecay is the factor by which the sums decay with each closed window; they
 	// reach back a few minutes.
-	calleeFade = 0.9995
-	// calleeSolve is the time between two solutions of the sums.
-	calleeSolve = 250 * time.Millisecond
-	// calleeLeast is how many further calls a request makes on average to count
-	// as one that makes them, and calleeRuns how many requests must have been seen.
-	calleeLeast = 0.3
-	calleeRuns  = 4.0
-	// calleeShare is the part of all calls to a route that a class must make.
-	// Below it refusing the class would hardly relieve the service, and what the
-	// fit gives to such a class is mostly chance.
-	calleeShare = 0.1
-	// calleeSteps is how often the solution is improved; a few classes settle
-	// within twenty.
-	calleeSteps = 40
-	// A class of which many requests ended while further calls failed, and of
-	// whose own hardly any failed, makes none: evidenceLeast is how many failures
-	// there should have been, evidenceShare the part of them that there must be,
-	// evidenceFrom the part of all calls that must fail for the evidence to count.
-	evidenceLeast = 3.0
-	evidenceShare = 0.3
-	evidenceFrom  = 0.05
-	// evidenceFade is what remains of the evidence with each request.
-	evidenceFade = 0.998
-	// failedWeight is the weight of the newest call in the part that fails.
-	failedWeight = 0.02
-	// A time counts as grown when its present mean lies slowedPart of its base, and
-	// slowedLeast seconds, above it: less may be chance. A request that makes such a
-	// call takes longer by that much at least; delayedPart of it is asked for.
-	slowedPart  = 0.5
-	slowedLeast = 0.02
-	delayedPart = 0.6
-	// timeWeight is the weight of the newest time in the present mean, timeRuns how
-	// many times make a base, and baseDrift how fast a base follows a mean above it.
-	timeWeight = 0.1
-	timeRuns   = 8
-	baseDrift  = 0.0005
-	// maximumClasses bounds the classes that are told apart, and the routes that
-	// they call; the sums grow with their square. A further one takes the place of
-	// the one that has been seen least of late.
+	windowDecay = 0.9995
+	// solveInterval is the time between two solutions of the fit.
+	solveInterval = 250 * time.Millisecond
+	// minCallsPerRequest is the average number of calls per request from which a
+	// class counts as a caller of a route. minClassRequests is the number of requests
+	// that must have ended before the calls of a class are reported.
+	minCallsPerRequest = 0.3
+	minClassRequests   = 4.0
+	// minCallShare is the share of all calls to a route that a class must make to
+	// count as a caller. Refusing a class below this share would hardly relieve the
+	// service, and the calls that the fit attributes to such a class are mostly
+	// noise.
+	minCallShare = 0.1
+	// solveIterations is the number of iterations per solution; with a few classes
+	// the fit converges within 20.
+	solveIterations = 40
+	// A class is taken to make no child calls if many of its requests ended while
+	// child calls were failing, and hardly any of these requests failed.
+	// minExpectedFailures is the number of failures that must have been expected of
+	// the class for that decision. A class with less than minFailureShare of its
+	// expected failures makes no calls. Failures are counted only while at least
+	// minFailureRate of all child calls fail.
+	minExpectedFailures = 3.0
+	minFailureShare     = 0.3
+	minFailureRate      = 0.05
+	// failureDecay is the factor by which the failure counts of a class decay with
+	// each of its requests.
+	failureDecay = 0.998
+	// failureRateWeight is the EWMA weight of the newest call in the failure rate.
+	failureRateWeight = 0.02
+	// A mean latency counts as increased when it exceeds its baseline by more than
+	// slowedFraction of the baseline and by more than slowedMinSeconds; a smaller
+	// increase may be noise. A request that makes a slower call takes longer by at
+	// least the increase of that call. A class counts as delayed from delayedFraction
+	// of this increase.
+	slowedFraction   = 0.5
+	slowedMinSeconds = 0.02
+	delayedFraction  = 0.6
+	// latencyWeight is the EWMA weight of the newest sample in a mean latency,
+	// latencyMinSamples is the number of samples that establish a baseline, and
+	// baselineDrift is the weight with which a baseline follows a mean above it.
+	latencyWeight     = 0.1
+	latencyMinSamples = 8
+	baselineDrift     = 0.0005
+	// maximumClasses bounds the number of classes, and of the routes that they call;
+	// memory for the sums grows with its square. A further class or route replaces
+	// the one with the fewest recent requests or calls.
 	maximumClasses = 32
 )
 
-// Callees learns which further calls the requests of each class make, though the
-// calls do not name the request that they are made for. Time is cut into windows.
-// A request that has ended counts in each window for the part of its service that
-// fell into it, and the calls per request that fit the windows' calls best, none
-// of them negative, are the classes' own: least squares, each window weighted by
-// the inverse of its requests, as for counts of events that come at random.
+// Callees estimates how many calls to each route the requests of a class make,
+// although the calls do not name their parent request. Time is divided into windows.
+// A request that has ended counts in each window with the share of its service time
+// that falls into the window. The estimate is the non-negative least-squares fit of
+// calls per request to the calls in the windows, with each window weighted by the
+// inverse of its number of requests, as is usual for counts of random events.
 //
-// Calls per request are looked for and not calls per time in service, which drop
-// to a part when the services below are full: fitted to both, a class that makes
-// no calls and takes as long as ever seemed to make some, and was refused for
-// want of room at a service that it does not need.
+// The fit is for calls per request and not for calls per time in service, because the
+// latter drops to a fraction while the called services are saturated. A fit of calls
+// per time in service over both conditions attributed calls to a class that makes
+// none and whose service time had not changed. That class was then refused for lack
+// of capacity at a service that it does not need.
 //
-// With much in service at once the fit is uncertain for minutes, but it matters
-// only once a service below is full, and then the requests show it themselves. If
-// calls to a route take longer than in calm, a request that makes one takes longer
-// by as much, and one that makes none does not. Nodes that went by the fit alone
-// took one class for another: entry nodes then let the least important requests
-// pass, which seemed not to need the full service, and refused the most important.
-// In the same way a request that makes calls fails as often as they do. The zero
-// value is ready. It is not safe for concurrent use.
+// With many requests in service at once, the fit remains uncertain for minutes. It
+// matters only once a called service is saturated, and then the requests themselves
+// show whether they depend on it. While calls to a route take longer than their
+// baseline, a request that makes such a call takes longer by the same amount, and a
+// request that makes none does not. Nodes that used the fit alone confused the
+// classes, and entry nodes then admitted the least important requests, which seemed
+// not to need the saturated service, and refused the most important ones. Similarly,
+// requests that make child calls fail as often as these calls do.
+//
+// The zero value is ready for use. Callees is not safe for concurrent use.
 type Callees struct {
-	index map[coltsfootward.RouteName]int
-	list  []*calls
-	// products holds the weighted sums of the products of two classes' requests.
-	products [][]float64
-	made     map[coltsfootward.RouteName]*callee
-	// newest is the number of the newest window, counted from time zero.
-	newest int64
-	solved time.Duration
-	// failing is the part of the further calls that have failed of late.
-	failing float64
+	index   map[coltsfootward.RouteName]int
+	classes []*classStats
+	// normalMatrix is the matrix of the normal equations: for each pair of classes,
+	// the weighted sum of the products of their requests per window.
+	normalMatrix [][]float64
+	routes       map[coltsfootward.RouteName]*routeStats
+	// newestWindow is the number of the newest window, counted from time zero.
+	newestWindow int64
+	solvedAt     time.Duration
+	// failureRate is the moving average of the fraction of child calls that fail.
+	failureRate float64
 }
 
-// times are how long something takes, in seconds: in calm, and at present.
-type times struct {
-	base, current float64
-	seen          int
+// latency tracks a mean latency in seconds: the baseline without overload, and the
+// current value.
+type latency struct {
+	baseline, mean float64
+	samples        int
 }
 
-func (t *times) observe(took time.Duration) {
-	t.seen++
-	t.current += max(timeWeight, 1/float64(t.seen)) * (took.Seconds() - t.current)
+func (t *latency) observe(took time.Duration) {
+	t.samples++
+	t.mean += max(latencyWeight, 1/float64(t.samples)) * (took.Seconds() - t.mean)
 	switch {
-	case t.seen < timeRuns:
-	case t.seen == timeRuns || t.current < t.base:
-		t.base = t.current
+	case t.samples < latencyMinSamples:
+	case t.samples == latencyMinSamples || t.mean < t.baseline:
+		t.baseline = t.mean
 	default:
-		t.base += baseDrift * (t.current - t.base)
+		t.baseline += baselineDrift * (t.mean - t.baseline)
 	}
 }
 
-// grown returns by how much it takes longer than in calm; zero if nothing is known.
-func (t *times) grown() float64 {
-	if t.seen < timeRuns {
+// increase returns by how much the current mean exceeds the baseline, in seconds. It
+// is zero while there is no baseline.
+func (t *latency) increase() float64 {
+	if t.samples < latencyMinSamples {
 		return 0
 	}
-	return t.current - t.base
+	return t.mean - t.baseline
 }
 
-// slowed reports whether it takes longer beyond chance.
-func (t *times) slowed() bool { return t.grown() > max(slowedPart*t.base, slowedLeast) }
+// slowed reports whether the current mean exceeds the baseline by more than noise.
+func (t *latency) slowed() bool {
+	return t.increase() > max(slowedFraction*t.baseline, slowedMinSeconds)
+}
 
-// calls is what is known of one class.
-type calls struct {
+// classStats holds the observations of one class of requests.
+type classStats struct {
 	name coltsfootward.RouteName
-	runs float64
-	// took is how long its requests that did not fail were in service.
-	took times
-	// delayed says for each route whether its requests take longer when calls to
-	// the route do; a route that never did is missing.
+	// requests is the decayed number of requests that have ended.
+	requests float64
+	// latency is the time in service of the requests that did not fail.
+	latency latency
+	// delayed records for each route whether requests of the class take longer while
+	// calls to the route do. It has no entry for a route whose calls have never
+	// slowed down.
 	delayed map[coltsfootward.RouteName]bool
-	// windows holds the requests in each open window, by the window's number
-	// modulo calleeWindows; total counts those of closed ones.
-	windows [calleeWindows]float64
-	total   float64
-	// expected is how many requests should have failed if the class made calls,
-	// failed how many did.
-	expected, failed float64
+	// windows holds the number of requests in each open window, indexed by the number
+	// of the window modulo openWindows. closedTotal is the decayed sum over the
+	// closed windows.
+	windows     [openWindows]float64
+	closedTotal float64
+	// expectedFailures is the number of requests that would have failed if the class
+	// made child calls, and failures is the number that did fail. Both decay.
+	expectedFailures, failures float64
 }
 
-// callee is what is known of the calls to one route.
-type callee struct {
-	// took is how long those took that did not fail, calls how many there were.
-	took    times
-	calls   float64
-	windows [calleeWindows]float64
-	// sums holds, for each class, the weighted sum of its requests times the calls.
-	sums []float64
-	// rates is the solution: calls per request of each class.
-	rates []float64
+// routeStats holds the observations of the calls to one route.
+type routeStats struct {
+	// latency is the duration of the calls that did not fail, callCount the decayed
+	// number of all calls.
+	latency   latency
+	callCount float64
+	windows   [openWindows]float64
+	// normalVector is the right-hand side of the normal equations: for each class,
+	// the weighted sum of the products of its requests and the calls per window.
+	normalVector []float64
+	// callsPerRequest is the solution of the fit for each class.
+	callsPerRequest []float64
 }
 
-func (c *Callees) class(name coltsfootward.RouteName) *calls {
+func (c *Callees) class(name coltsfootward.RouteName) *classStats {
 	if c.index == nil {
 		c.index = make(map[coltsfootward.RouteName]int)
 	}
 	if i, ok := c.index[name]; ok {
-		return c.list[i]
+		return c.classes[i]
 	}
-	k := &calls{name: name, delayed: make(map[coltsfootward.RouteName]bool)}
-	if len(c.list) >= maximumClasses {
-		c.replace(k)
+	k := &classStats{name: name, delayed: make(map[coltsfootward.RouteName]bool)}
+	if len(c.classes) >= maximumClasses {
+		c.replaceLeastSeen(k)
 		return k
 	}
-	c.index[name] = len(c.list)
-	c.list = append(c.list, k)
-	for i := range c.products {
-		c.products[i] = append(c.products[i], 0)
+	c.index[name] = len(c.classes)
+	c.classes = append(c.classes, k)
+	for i := range c.normalMatrix {
+		c.normalMatrix[i] = append(c.normalMatrix[i], 0)
 	}
-	c.products = append(c.products, make([]float64, len(c.list)))
-	for _, m := range c.made {
-		m.sums = append(m.sums, 0)
-		m.rates = append(m.rates, 0)
+	c.normalMatrix = append(c.normalMatrix, make([]float64, len(c.classes)))
+	for _, m := range c.routes {
+		m.normalVector = append(m.normalVector, 0)
+		m.callsPerRequest = append(m.callsPerRequest, 0)
 	}
 	return k
 }
 
-// replace puts a class in the place of the one that has been seen least of late.
+// replaceLeastSeen replaces the class with the fewest recent requests by k.
 //
-// Routes get new names with new configurations. Without it the first 32 names
-// ever seen, probes of single requests among them, would keep the places for good,
-// and a node that has run for weeks would know nothing of the present ones.
-func (c *Callees) replace(k *calls) {
-	place := 0
-	for i, old := range c.list {
-		if old.runs < c.list[place].runs {
-			place = i
+// New configurations bring new route names. Without replacement, the first 32 names
+// ever seen, including those of single probes, would stay for good, and a node that
+// has run for weeks would have no estimate for any current route.
+func (c *Callees) replaceLeastSeen(k *classStats) {
+	least := 0
+	for i, old := range c.classes {
+		if old.requests < c.classes[least].requests {
+			least = i
 		}
 	}
-	delete(c.index, c.list[place].name)
-	c.index[k.name] = place
-	c.list[place] = k
-	for i := range c.products {
-		c.products[i][place] = 0
-		c.products[place][i] = 0
+	delete(c.index, c.classes[least].name)
+	c.index[k.name] = least
+	c.classes[least] = k
+	for i := range c.normalMatrix {
+		c.normalMatrix[i][least] = 0
+		c.normalMatrix[least][i] = 0
 	}
-	for _, m := range c.made {
-		m.sums[place] = 0
-		m.rates[place] = 0
+	for _, m := range c.routes {
+		m.normalVector[least] = 0
+		m.callsPerRequest[least] = 0
 	}
 }
 
-// callee returns what is known of the calls to a route.
-func (c *Callees) callee(route coltsfootward.RouteName) *callee {
-	if c.made == nil {
-		c.made = make(map[coltsfootward.RouteName]*callee)
+// route returns the observations of the calls to a route, and creates them if
+// necessary.
+func (c *Callees) route(route coltsfootward.RouteName) *routeStats {
+	if c.routes == nil {
+		c.routes = make(map[coltsfootward.RouteName]*routeStats)
 	}
-	if m, ok := c.made[route]; ok {
+	if m, ok := c.routes[route]; ok {
 		return m
 	}
-	if len(c.made) >= maximumClasses {
+	if len(c.routes) >= maximumClasses {
 		least := route
-		for _, name := range slices.Sorted(maps.Keys(c.made)) {
-			if least == route || c.made[name].calls < c.made[least].calls {
+		for _, name := range slices.Sorted(maps.Keys(c.routes)) {
+			if least == route || c.routes[name].callCount < c.routes[least].callCount {
 				least = name
 			}
 		}
-		delete(c.made, least)
-		for _, k := range c.list {
+		delete(c.routes, least)
+		for _, k := range c.classes {
 			delete(k.delayed, least)
 		}
 	}
-	m := &callee{sums: make([]float64, len(c.list)), rates: make([]float64, len(c.list))}
-	c.made[route] = m
+	m := &routeStats{normalVector: make([]float64, len(c.classes)), callsPerRequest: make([]float64, len(c.classes))}
+	c.routes[route] = m
 	return m
 }
 
-// advance closes the windows that are too old for the time now.
+// advance opens the windows up to now, and closes the oldest ones in their place.
 func (c *Callees) advance(now time.Duration) {
-	number := int64(now / calleeWindow)
-	if number-c.newest > calleeWindows {
-		c.newest = max(c.newest, number-2*calleeWindows)
+	number := int64(now / callWindow)
+	if number-c.newestWindow > openWindows {
+		c.newestWindow = max(c.newestWindow, number-2*openWindows)
 	}
-	for c.newest < number {
-		c.newest++
-		c.closeWindow(int(c.newest % calleeWindows))
+	for c.newestWindow < number {
+		c.newestWindow++
+		c.closeWindow(int(c.newestWindow % openWindows))
 	}
 }
 
-// closeWindow takes the window at a place into the sums and empties the place.
-func (c *Callees) closeWindow(place int) {
+// closeWindow adds the window at a ring index to the sums and clears it.
+func (c *Callees) closeWindow(index int) {
 	total := 0.0
-	for _, k := range c.list {
-		total += k.windows[place]
+	for _, k := range c.classes {
+		total += k.windows[index]
 	}
 	if total > 0 {
-		c.sum(place, total)
+		c.accumulate(index, total)
 	}
-	for _, k := range c.list {
-		k.total = k.total*calleeFade + k.windows[place]
-		k.runs *= calleeFade
-		k.windows[place] = 0
+	for _, k := range c.classes {
+		k.closedTotal = k.closedTotal*windowDecay + k.windows[index]
+		k.requests *= windowDecay
+		k.windows[index] = 0
 	}
-	for _, m := range c.made {
-		m.calls = m.calls*calleeFade + m.windows[place]
-		m.windows[place] = 0
+	for _, m := range c.routes {
+		m.callCount = m.callCount*windowDecay + m.windows[index]
+		m.windows[index] = 0
 	}
 }
 
-func (c *Callees) sum(place int, total float64) {
-	for i, a := range c.list {
-		for j, b := range c.list {
-			c.products[i][j] = c.products[i][j]*calleeFade + a.windows[place]*b.windows[place]/total
+// accumulate adds the window at a ring index, with total requests, to the normal
+// equations.
+func (c *Callees) accumulate(index int, total float64) {
+	for i, a := range c.classes {
+		for j, b := range c.classes {
+			c.normalMatrix[i][j] = c.normalMatrix[i][j]*windowDecay + a.windows[index]*b.windows[index]/total
 		}
-		for _, m := range c.made {
-			m.sums[i] = m.sums[i]*calleeFade + a.windows[place]*m.windows[place]/total
+		for _, m := range c.routes {
+			m.normalVector[i] = m.normalVector[i]*windowDecay + a.windows[index]*m.windows[index]/total
 		}
 	}
 }
 
-// Ended counts a request that was in service since began, and whether the backend
-// server failed it.
+// Ended records the end of a request that entered service at began. failed is set if
+// the backend server failed the request.
 func (c *Callees) Ended(now, began time.Duration, class coltsfootward.RouteName, failed bool) {
 	c.advance(now)
 	k := c.class(class)
-	k.runs++
+	k.requests++
 	k.spread(began, now)
 	if !failed {
-		k.took.observe(now - began)
+		k.latency.observe(now - began)
 	}
-	c.compare(k)
-	if c.failing < evidenceFrom {
+	c.updateDelayed(k)
+	if c.failureRate < minFailureRate {
 		return
 	}
-	k.expected = k.expected*evidenceFade + c.failing
-	k.failed *= evidenceFade
+	k.expectedFailures = k.expectedFailures*failureDecay + c.failureRate
+	k.failures *= failureDecay
 	if failed {
-		k.failed++
+		k.failures++
 	}
 }
 
-// compare looks which routes' calls take longer than in calm, and whether requests
-// of the class do so too.
-func (c *Callees) compare(k *calls) {
-	if k.took.seen < timeRuns {
+// updateDelayed records, for each route whose calls are slowed, whether requests of
+// the class are delayed as well.
+func (c *Callees) updateDelayed(k *classStats) {
+	if k.latency.samples < latencyMinSamples {
 		return
 	}
-	for route, m := range c.made {
-		if m.took.slowed() {
-			k.delayed[route] = k.took.grown() >= delayedPart*m.took.grown()
+	for route, m := range c.routes {
+		if m.latency.slowed() {
+			k.delayed[route] = k.latency.increase() >= delayedFraction*m.latency.increase()
 		}
 	}
 }
 
-// spread counts one request in the windows that its service fell into.
-func (k *calls) spread(began, ended time.Duration) {
+// spread distributes one request over the windows that its time in service overlaps.
+func (k *classStats) spread(began, ended time.Duration) {
 	whole := max(ended-began, 1)
-	for from := max(began, ended-(calleeWindows-1)*calleeWindow); from < ended; {
-		to := min((from/calleeWindow+1)*calleeWindow, ended)
-		k.windows[int(from/calleeWindow)%calleeWindows] += float64(to-from) / float64(whole)
+	for from := max(began, ended-(openWindows-1)*callWindow); from < ended; {
+		to := min((from/callWindow+1)*callWindow, ended)
+		k.windows[int(from/callWindow)%openWindows] += float64(to-from) / float64(whole)
 		from = to
 	}
 }
 
-// CallEnded counts the end of a further call, how long it took, and whether it
-// failed.
+// CallEnded records the end of a child call, its duration, and whether it failed.
 func (c *Callees) CallEnded(route coltsfootward.RouteName, took time.Duration, failed bool) {
-	c.failing -= failedWeight * c.failing
+	c.failureRate -= failureRateWeight * c.failureRate
 	if failed {
-		c.failing += failedWeight
+		c.failureRate += failureRateWeight
 		return
 	}
-	if m, ok := c.made[route]; ok {
-		m.took.observe(took)
+	if m, ok := c.routes[route]; ok {
+		m.latency.observe(took)
 	}
 }
 
-// spared reports whether the class has been seen not to suffer from calls that
-// failed.
-func (k *calls) spared() bool {
-	return k.expected >= evidenceLeast && k.failed < evidenceShare*k.expected
+// unaffected reports whether requests of the class have succeeded while child calls
+// failed, so that the class cannot make any.
+func (k *classStats) unaffected() bool {
+	return k.expectedFailures >= minExpectedFailures && k.failures < minFailureShare*k.expectedFailures
 }
 
-// Called counts a further call.
+// Called records the start of a child call.
 func (c *Callees) Called(now time.Duration, route coltsfootward.RouteName) {
 	c.advance(now)
-	c.callee(route).windows[c.newest%calleeWindows]++
+	c.route(route).windows[c.newestWindow%openWindows]++
 }
 
 // Callee is a route that requests of a class call.
 type Callee struct {
 	Route coltsfootward.RouteName
-	// PerRequest is how many calls a request makes on average.
-	PerRequest float64
+	// CallsPerRequest is the average number of calls that a request makes.
+	CallsPerRequest float64
 }
 
-// Of returns the routes that requests of a class call, sorted.
+// Of returns the routes that requests of a class call, sorted by name.
 func (c *Callees) Of(now time.Duration, class coltsfootward.RouteName) []Callee {
 	i, ok := c.index[class]
-	if !ok || c.list[i].runs < calleeRuns {
+	if !ok || c.classes[i].requests < minClassRequests {
 		return nil
 	}
-	if now-c.solved >= calleeSolve {
-		c.solved = now
+	if now-c.solvedAt >= solveInterval {
+		c.solvedAt = now
 		c.solve()
 	}
-	k := c.list[i]
-	if k.spared() {
+	k := c.classes[i]
+	if k.unaffected() {
 		return nil
 	}
-	var found []Callee
-	for _, route := range slices.Sorted(maps.Keys(c.made)) {
-		if c.makes(i, route) {
-			found = append(found, Callee{Route: route, PerRequest: max(c.made[route].rates[i], calleeLeast)})
+	var callees []Callee
+	for _, route := range slices.Sorted(maps.Keys(c.routes)) {
+		if c.callsRoute(i, route) {
+			callees = append(callees, Callee{Route: route, CallsPerRequest: max(c.routes[route].callsPerRequest[i], minCallsPerRequest)})
 		}
 	}
-	return found
+	return callees
 }
 
-// makes reports whether requests of a class make calls to a route: if the fit says
-// so, and the class takes longer when such calls do. A class whose own work has
-// become slower for another reason, on a server that is nearly full, seems delayed
-// by calls that it doesn't make; taken for a caller, it would be refused for a
-// service that it doesn't need.
-func (c *Callees) makes(i int, route coltsfootward.RouteName) bool {
-	k, m := c.list[i], c.made[route]
+// callsRoute reports whether requests of the class at index i call a route. The fit
+// must attribute calls to the class and, once calls to the route have slowed down,
+// the class must have slowed down as well. The delay alone is not sufficient: on a
+// nearly saturated server, a class whose own work has slowed down for another reason
+// seems delayed by calls that it does not make. As a presumed caller it would be
+// refused for lack of capacity at a service that it does not need.
+func (c *Callees) callsRoute(i int, route coltsfootward.RouteName) bool {
+	k, m := c.classes[i], c.routes[route]
 	if delayed, known := k.delayed[route]; known && !delayed {
 		return false
 	}
-	return m.rates[i] >= calleeLeast && m.rates[i]*k.total >= calleeShare*c.all(m)
+	return m.callsPerRequest[i] >= minCallsPerRequest && m.callsPerRequest[i]*k.closedTotal >= minCallShare*c.totalCalls(m)
 }
 
-// all returns how many calls to a route the fit gives to all classes.
-func (c *Callees) all(m *callee) float64 {
+// totalCalls returns the number of calls to a route that the fit attributes to all
+// classes together.
+func (c *Callees) totalCalls(m *routeStats) float64 {
 	sum := 0.0
-	for i, k := range c.list {
-		sum += m.rates[i] * k.total
+	for i, k := range c.classes {
+		sum += m.callsPerRequest[i] * k.closedTotal
 	}
 	return sum
 }
 
-// solve finds the rates by improving one class's at a time.
+// solve computes the calls per request by coordinate descent with non-negative
+// values.
 func (c *Callees) solve() {
-	for _, m := range c.made {
-		for range calleeSteps {
-			for i := range c.list {
-				if c.products[i][i] > 0 {
-					m.rates[i] = max(m.rates[i]+(m.sums[i]-dot(c.products[i], m.rates))/c.products[i][i], 0)
+	for _, m := range c.routes {
+		for range solveIterations {
+			for i := range c.classes {
+				if c.normalMatrix[i][i] > 0 {
+					m.callsPerRequest[i] = max(m.callsPerRequest[i]+(m.normalVector[i]-dot(c.normalMatrix[i], m.callsPerRequest))/c.normalMatrix[i][i], 0)
 				}
 			}
 		}
--- a/core/pressure/doc.go
+++ b/core/pressure/doc.go
@@ -1,16 +1,18 @@
-// Package pressure has entry nodes refuse what a service further down a chain of
-// calls could not serve, before anything has begun to work for it.
+// Package pressure lets entry nodes refuse requests that a service further down the
+// call chain has no capacity for, before any service has started work on them.
 //
-// Four parts work together. A Meter at each backend server's node measures how
-// much is offered to the server, and a Throttle beside it decides which part of the
-// demand is to be refused. Callees at the same node learn which further calls each
-// class of requests makes, so that an answer can tell the same of the services
-// below, and what a request takes of each. Gates at each entry node refuse that
-// part, least important first, and among equals those that take most.
+// Four types work together. On each backend server's node, a Meter measures the load
+// offered to the server, and a Throttle computes the fraction of the demand to
+// refuse. Callees on the same node estimates which child calls the requests of each
+// class make, so that responses also report the excess at the called services and the
+// slot time that a request takes there. On each entry node, Gates refuses that
+// fraction: the least important requests first and, among equally important ones, the
+// most expensive.
 //
-// The load that it is made for: a deep service has half the capacity that a burst
-// asks of it, and every request holds slots of all services above it. Refused at
-// the deep service, a request has cost those above it their work for nothing, and
-// because a request needs several of its calls, a third of them refused fails
-// nearly all requests. The package decides only: it reads no clock and does no I/O.
+// The design load is a burst that asks twice its capacity of a service at the end of
+// a call chain, while every request holds slots at all services up the chain. A
+// request refused at the last service has wasted the work of the others. Because each
+// request makes several calls to the saturated service, refusing a third of the calls
+// fails nearly all requests. The package only makes decisions: it reads no clock and
+// performs no I/O.
 package pressure
--- a/core/pressure/gate.go
+++ b/core/pressure/gate.go
@@ -10,61 +10,65 @@
 )
 
 const (
-	// gateInterval is the time between two settings of a gate's limit.
+	// gateInterval is the time between two updates of a gate's limit.
 	gateInterval = 100 * time.Millisecond
-	// excessWeight is the weight of the newest report in what a gate refuses. The
-	// reports are steady by themselves; what is evened out is that the servers of
-	// a service do not say the same.
+	// excessWeight is the minimum EWMA weight of the newest report in a gate's
+	// excess. The reports of each server are already smooth; averaging evens out the
+	// differences between the servers of a service.
 	excessWeight = 0.2
-	// excessTime is the time after which a report that comes alone replaces most of
-	// the earlier ones: an entry node that hears of a service twice a second must not
-	// take as many reports to follow it as one that hears of it thirty times.
-	excessTime = 250 * time.Millisecond
-	// reportLife is how long a report counts. Without newer ones more and more is
-	// let pass, by staleRise in each interval.
-	reportLife = time.Second
-	staleRise  = 1.12
-	// demandFade is what remains of the demand's counts from one interval to the
-	// next: they reach back two seconds.
-	demandFade = 0.95
-	// reachWeight is the weight of the newest answer in the share of answers that
-	// name a service. A class needs a service that reachLeast of them name; one that
-	// reachForget or fewer name is forgotten. A service named for the first time
-	// starts at reachFirst, so that a few more answers decide.
-	reachWeight = 0.1
-	reachLeast  = 0.5
-	reachForget = 0.05
-	reachFirst  = 0.45
-	// costWeight is the weight of the newest answer in what a request costs.
+	// excessTimeConstant is the time constant for reports that arrive far apart, so
+	// that a single report replaces most of the earlier ones. An entry node that
+	// receives two reports per second about a service follows it as quickly as a node
+	// that receives 30.
+	excessTimeConstant = 250 * time.Millisecond
+	// reportLifetime is the time for which a report is valid. Without a newer report,
+	// the admitted fraction grows by the factor staleGrowth per interval.
+	reportLifetime = time.Second
+	staleGrowth    = 1.12
+	// demandDecay is the factor by which the demand's counts decay per interval; they
+	// reach back two seconds.
+	demandDecay = 0.95
+	// needWeight is the EWMA weight of the newest response in the share of responses
+	// that report a service. A class needs a service if the share is at least
+	// needThreshold. A service is dropped when the share falls below dropThreshold. A
+	// service that is reported for the first time starts at initialShare, so that a
+	// few more responses decide.
+	needWeight    = 0.1
+	needThreshold = 0.5
+	dropThreshold = 0.05
+	initialShare  = 0.45
+	// costWeight is the EWMA weight of the newest response in the cost of a request.
 	costWeight = 0.1
-	// rankBits is how many bits a shed rank has, bucketBits how many of them
-	// choose a bucket of the demand.
+	// rankBits is the number of bits in a shed rank, and bucketBits is the number of
+	// leading bits that select a bucket of the demand.
 	rankBits   = 30
 	bucketBits = 9
 	buckets    = 1 << bucketBits
 )
 
-// Gates are an entry node's gates for all services. The zero value is ready. It
-// is not safe for concurrent use.
+// Gates holds the gates of an entry node for all services. The zero value is ready
+// for use. Gates is not safe for concurrent use.
 type Gates struct {
 	gates map[coltsfootward.ServiceName]*gate
-	// reach says how much requests of a class need a service.
-	reach map[coltsfootward.RouteName]map[coltsfootward.ServiceName]need
+	// needs holds, for each class of requests, the services that it needs.
+	needs map[coltsfootward.RouteName]map[coltsfootward.ServiceName]need
 	next  time.Duration
 }
 
-// need is what answers told of a class and a service.
+// need describes how a class of requests depends on a service, as reported in
+// responses.
 type need struct {
-	// share is the part of the answers that name the service as needed.
+	// share is the moving average of the fraction of responses that report the
+	// service as needed.
 	share float64
-	// cost is the slot time in seconds that one request takes there; zero if that
-	// is not known.
+	// cost is the slot time in seconds that one request takes at the service, or zero
+	// if it is unknown.
 	cost float64
 }
 
-// told returns the need after an answer that named the service.
-func (n need) told(cost float64) need {
-	n.share += reachWeight
+// withReport returns the need after a response that reported the service.
+func (n need) withReport(cost float64) need {
+	n.share += needWeight
 	if cost <= 0 {
 		return n
 	}
@@ -75,63 +79,65 @@
 	return n
 }
 
-// gate is what is known of one service.
+// gate holds the state of one service's gate.
 type gate struct {
-	// excess is the part of the demand to refuse, as the service's servers say.
-	excess float64
-	heard  time.Duration
-	known  bool
-	// withheld is a part of the demand that is refused besides, whatever the
+	// excess is the fraction of the demand to refuse, as reported by the servers of
+	// the service.
+	excess     float64
+	reportedAt time.Duration
+	hasReport  bool
+	// minRefused is the minimum fraction of the demand to refuse, whatever the
 	// servers report.
-	withheld float64
-	// passed is the part that is let pass.
-	passed float64
-	// demand is the slot time that requests of each rank have asked for of late.
+	minRefused float64
+	// admitted is the fraction of the demand that is admitted.
+	admitted float64
+	// demand is the recent demand by rank, in slot time. It decays.
 	demand [buckets]float64
-	prices prices
+	costs  bandCosts
 	// limit is the rank above which requests are refused.
 	limit uint32
-	// told is the part that was let pass when the gate was last told of.
-	told float64
+	// lastReturned is the admitted fraction when Moved last returned the gate.
+	lastReturned float64
 }
 
-// State is how far a gate is closed.
+// State describes how far a gate is closed.
 type State struct {
 	Service coltsfootward.ServiceName
-	// Excess is the part of the demand that the service's servers want refused,
-	// and Age how old that is.
+	// Excess is the fraction of the demand that the servers of the service want
+	// refused, and Age is the age of that report.
 	Excess float64
 	Age    time.Duration
-	// Passed is the part of the demand that is let pass, Limit the rank above
-	// which requests are refused.
+	// Passed is the admitted fraction of the demand. Limit is the rank above which
+	// requests are refused.
 	Passed float64
 	Limit  uint32
 }
 
 func (g *gate) state(now time.Duration, service coltsfootward.ServiceName) State {
-	return State{Service: service, Excess: g.excess, Age: now - g.heard, Passed: g.passed, Limit: g.limit}
+	return State{Service: service, Excess: g.excess, Age: now - g.reportedAt, Passed: g.admitted, Limit: g.limit}
 }
 
-// State returns how far the gate of a service is closed.
+// State returns the state of a service's gate.
 func (g *Gates) State(now time.Duration, service coltsfootward.ServiceName) State {
 	return g.gate(service).state(now, service)
 }
 
-// toldStep is by how much a gate must have moved to be told of.
-const toldStep = 0.1
+// movedStep is the change of the admitted fraction from which Moved returns a gate.
+const movedStep = 0.1
 
-// Moved returns the gates that have moved much since they were last told of, in
-// the order of their services.
+// Moved returns the gates whose admitted fraction has changed by at least movedStep
+// since Moved last returned them, and those that have opened completely. They are
+// sorted by service.
 func (g *Gates) Moved(now time.Duration) []State {
 	var moved []State
 	for _, service := range slices.Sorted(maps.Keys(g.gates)) {
-		known := g.gates[service]
-		step := math.Abs(known.passed - known.told)
-		if step < toldStep && (known.passed < 1 || step == 0) {
+		gate := g.gates[service]
+		step := math.Abs(gate.admitted - gate.lastReturned)
+		if step < movedStep && (gate.admitted < 1 || step == 0) {
 			continue
 		}
-		known.told = known.passed
-		moved = append(moved, known.state(now, service))
+		gate.lastReturned = gate.admitted
+		moved = append(moved, gate.state(now, service))
 	}
 	return moved
 }
@@ -140,187 +146,190 @@
 	if g.gates == nil {
 		g.gates = make(map[coltsfootward.ServiceName]*gate)
 	}
-	known, ok := g.gates[service]
+	found, ok := g.gates[service]
 	if !ok {
-		known = &gate{passed: 1, told: 1, limit: math.MaxUint32}
-		g.gates[service] = known
+		found = &gate{admitted: 1, lastReturned: 1, limit: math.MaxUint32}
+		g.gates[service] = found
 	}
-	return known
+	return found
 }
 
-// Answered takes in what an answer to a request of the class told: what is to be
-// refused for the services that such requests need. The nodes of a service learn
-// by themselves what is needed, and not all at once; what most answers name counts.
-func (g *Gates) Answered(now time.Duration, class coltsfootward.RouteName, told []Reported) {
-	if g.reach == nil {
-		g.reach = make(map[coltsfootward.RouteName]map[coltsfootward.ServiceName]need)
+// Answered processes the reports in a response to a request of the class: the excess
+// at each service that such requests need. The nodes of a service find out
+// independently, and at different times, which services a class needs. A service
+// counts as needed if most responses report it.
+func (g *Gates) Answered(now time.Duration, class coltsfootward.RouteName, reports []Reported) {
+	if g.needs == nil {
+		g.needs = make(map[coltsfootward.RouteName]map[coltsfootward.ServiceName]need)
 	}
-	needs, ok := g.reach[class]
+	needs, ok := g.needs[class]
 	if !ok {
 		needs = make(map[coltsfootward.ServiceName]need)
-		g.reach[class] = needs
+		g.needs[class] = needs
 	}
-	for service, known := range needs {
-		known.share *= 1 - reachWeight
-		needs[service] = known
+	for service, n := range needs {
+		n.share *= 1 - needWeight
+		needs[service] = n
 	}
-	for _, r := range told {
-		if _, known := needs[r.Service]; !known {
-			needs[r.Service] = need{share: reachFirst}
+	for _, r := range reports {
+		if _, seen := needs[r.Service]; !seen {
+			needs[r.Service] = need{share: initialShare}
 		}
-		needs[r.Service] = needs[r.Service].told(r.Cost)
+		needs[r.Service] = needs[r.Service].withReport(r.Cost)
 		if !r.Cold {
-			g.gate(r.Service).report(now, r.Excess)
+			g.gate(r.Service).observeReport(now, r.Excess)
 		}
 	}
-	maps.DeleteFunc(needs, func(_ coltsfootward.ServiceName, known need) bool { return known.share < reachForget })
+	maps.DeleteFunc(needs, func(_ coltsfootward.ServiceName, n need) bool { return n.share < dropThreshold })
 }
 
-func (g *gate) report(now time.Duration, excess float64) {
-	weight := max(excessWeight, 1-math.Exp(-(now-g.heard).Seconds()/excessTime.Seconds()))
-	if !g.known || now-g.heard > reportLife {
+func (g *gate) observeReport(now time.Duration, excess float64) {
+	weight := max(excessWeight, 1-math.Exp(-(now-g.reportedAt).Seconds()/excessTimeConstant.Seconds()))
+	if !g.hasReport || now-g.reportedAt > reportLifetime {
 		weight = 1
 	}
-	g.known = true
-	g.heard = now
+	g.hasReport = true
+	g.reportedAt = now
 	g.excess += weight * (excess - g.excess)
 }
 
-// Forget drops the classes that keep does not hold. A configuration that names its
-// routes anew would else leave a class behind with each change.
+// Forget drops the classes for which keep returns false. Otherwise each configuration
+// change that renames routes would leave unused classes behind.
 func (g *Gates) Forget(keep func(coltsfootward.RouteName) bool) {
-	maps.DeleteFunc(g.reach, func(class coltsfootward.RouteName, _ map[coltsfootward.ServiceName]need) bool {
+	maps.DeleteFunc(g.needs, func(class coltsfootward.RouteName, _ map[coltsfootward.ServiceName]need) bool {
 		return !keep(class)
 	})
 }
 
-// Classes returns how many classes of requests are known.
-func (g *Gates) Classes() int { return len(g.reach) }
+// Classes returns the number of classes whose needs are known.
+func (g *Gates) Classes() int { return len(g.needs) }
 
-// Reported is what part of the demand for a service is to be refused.
+// Reported is the excess of a service, as reported in a response.
 type Reported struct {
 	Service coltsfootward.ServiceName
 	Excess  float64
-	// Cost is the slot time in seconds that one request of the class takes there;
-	// zero if that is not known.
+	// Cost is the slot time in seconds that one request of the class takes at the
+	// service, or zero if it is unknown.
 	Cost float64
-	// Cold is set if the server that tells is cold: what it is asked for beyond the
-	// little that it bears says nothing of the service.
+	// Cold is set if the reporting server is cold. Its excess is ignored, because
+	// demand beyond the limited capacity of a cold server says nothing about the
+	// service.
 	Cold bool
 }
 
-// Below returns what is to be refused of the demand for the services that
-// the calls need, for an answer to tell.
+// Below returns the excess of each service that the given calls need, to be reported
+// in responses. The cost of a service is the sum over the calls that a request makes.
 func (g *Gates) Below(now time.Duration, calls []Callee) []Reported {
-	var found []Reported
-	place := make(map[coltsfootward.ServiceName]int)
+	var reports []Reported
+	index := make(map[coltsfootward.ServiceName]int)
 	for _, call := range calls {
-		needs := g.reach[call.Route]
+		needs := g.needs[call.Route]
 		for _, service := range slices.Sorted(maps.Keys(needs)) {
-			if needs[service].share < reachLeast {
+			if needs[service].share < needThreshold {
 				continue
 			}
-			i, seen := place[service]
+			i, seen := index[service]
 			if !seen {
-				i = len(found)
-				place[service] = i
-				found = append(found, Reported{Service: service, Excess: g.gate(service).current(now)})
+				i = len(reports)
+				index[service] = i
+				reports = append(reports, Reported{Service: service, Excess: g.gate(service).currentExcess(now)})
 			}
-			found[i].Cost += call.PerRequest * needs[service].cost
+			reports[i].Cost += call.CallsPerRequest * needs[service].cost
 		}
 	}
-	return found
+	return reports
 }
 
-func (g *gate) current(now time.Duration) float64 {
-	if !g.known || now-g.heard > reportLife {
+// currentExcess returns the excess, or zero without a valid report.
+func (g *gate) currentExcess(now time.Duration) float64 {
+	if !g.hasReport || now-g.reportedAt > reportLifetime {
 		return 0
 	}
 	return g.excess
 }
 
-// Needs returns how many services a class of requests needs, the one that it goes
-// to included, as far as answers have told.
+// Needs returns how many services requests of a class need, according to the
+// responses. The service that the requests are sent to is included.
 func (g *Gates) Needs(class coltsfootward.RouteName) int {
 	needed := 0
-	for _, known := range g.reach[class] {
-		if known.share >= reachLeast {
+	for _, n := range g.needs[class] {
+		if n.share >= needThreshold {
 			needed++
 		}
 	}
 	return needed
 }
 
-// Admit counts a request and reports whether it is to be let pass; if not, it
-// names the service that has no room for it.
+// Admit counts a request and reports whether it is admitted. If it is not, Admit
+// returns the name of a service that has no capacity for it.
 func (g *Gates) Admit(class coltsfootward.RouteName, rank uint32) (coltsfootward.ServiceName, bool) {
-	var full coltsfootward.ServiceName
-	for service, needed := range g.reach[class] {
-		if needed.share < reachLeast {
+	var saturated coltsfootward.ServiceName
+	for service, n := range g.needs[class] {
+		if n.share < needThreshold {
 			continue
 		}
-		known := g.gate(service)
-		cost := known.prices.cost(needed.cost)
-		place := known.prices.place(rank, cost)
-		known.prices.count(rank, cost)
-		known.demand[bucketOf(place)] += cost
-		if place > known.limit {
-			full = service
+		gate := g.gate(service)
+		cost := gate.costs.cost(n.cost)
+		effective := gate.costs.effectiveRank(rank, cost)
+		gate.costs.observe(rank, cost)
+		gate.demand[bucketOf(effective)] += cost
+		if effective > gate.limit {
+			saturated = service
 		}
 	}
-	return full, full == ""
+	return saturated, saturated == ""
 }
 
 func bucketOf(rank uint32) int {
 	return int(min(rank>>(rankBits-bucketBits), buckets-1))
 }
 
-// Withhold has at least that part of the demand for a service refused, 0 to 1, until
-// it is called again. It is for what is known beforehand, such as cold servers: the
-// servers' reports come only after the load has reached them.
-func (g *Gates) Withhold(service coltsfootward.ServiceName, part float64) {
-	if part > 0 || g.gates[service] != nil {
-		g.gate(service).withheld = part
+// Withhold sets the minimum fraction of the demand for a service to refuse, 0 to 1,
+// until it is called again. It is for conditions that are known in advance, such as
+// cold servers: reports of the servers arrive only after the load has reached them.
+func (g *Gates) Withhold(service coltsfootward.ServiceName, fraction float64) {
+	if fraction > 0 || g.gates[service] != nil {
+		g.gate(service).minRefused = fraction
 	}
 }
 
-// Tick sets the gates anew at the end of each interval.
+// Tick updates the gates once per interval.
 func (g *Gates) Tick(now time.Duration) {
 	if now < g.next {
 		return
 	}
 	g.next = max(g.next+gateInterval, now)
-	for _, known := range g.gates {
-		known.set(now)
+	for _, gate := range g.gates {
+		gate.update(now)
 	}
 }
 
-// set takes over what part of the demand is to pass, and finds the rank up to
-// which the demand is that part.
-func (g *gate) set(now time.Duration) {
-	if !g.known || now-g.heard > reportLife {
-		g.passed = min(1, g.passed*staleRise)
+// update computes the admitted fraction and the rank limit that admits this fraction
+// of the demand.
+func (g *gate) update(now time.Duration) {
+	if !g.hasReport || now-g.reportedAt > reportLifetime {
+		g.admitted = min(1, g.admitted*staleGrowth)
 	} else {
-		g.passed = 1 - g.excess
+		g.admitted = 1 - g.excess
 	}
-	g.passed = min(g.passed, 1-g.withheld)
-	g.limit = g.rankAt(g.passed)
+	g.admitted = min(g.admitted, 1-g.minRefused)
+	g.limit = g.rankAt(g.admitted)
 	for i := range g.demand {
-		g.demand[i] *= demandFade
+		g.demand[i] *= demandDecay
 	}
-	g.prices.fade()
+	g.costs.decay()
 }
 
-// rankAt returns the rank below which the given part of the demand lies.
-func (g *gate) rankAt(part float64) uint32 {
-	if part >= 1 {
+// rankAt returns the rank below which the given fraction of the demand lies.
+func (g *gate) rankAt(fraction float64) uint32 {
+	if fraction >= 1 {
 		return math.MaxUint32
 	}
 	total := 0.0
 	for _, n := range g.demand {
 		total += n
 	}
-	wanted := part * total
+	wanted := fraction * total
 	for i, n := range g.demand {
 		if n > wanted {
 			width := float64(uint32(1) << (rankBits - bucketBits))
--- a/core/pressure/meter.go
+++ b/core/pressure/meter.go
@@ -6,44 +6,49 @@
 )
 
 const (
-	// meterTime is the time constant of a Meter: long against the few
-	// milliseconds in which a queue swings, short against a burst of seconds.
-	meterTime = 300 * time.Millisecond
-	// targetMargin and lowestTarget: a server with s slots is full, for requests
-	// that come at random, when margin/√s of them are free on average. With 12
-	// slots that is 0.94 of them, with 133 it is 0.98.
+	// meterTimeConstant is the time constant of the averages of a Meter: long
+	// compared with the few milliseconds in which a queue fluctuates, short compared
+	// with a burst of several seconds.
+	meterTimeConstant = 300 * time.Millisecond
+	// With requests that arrive at random, a server with s slots is at capacity when
+	// the fraction targetMargin/√s of its slots is free on average. The target
+	// utilisation is then 0.94 with 12 slots and 0.98 with 133. minTarget is its
+	// lower bound.
 	targetMargin = 0.2
-	lowestTarget = 0.6
-	// drainTime is the time in which what waits should have been served. A request
-	// waits once for each of its calls, and holds slots of the services above for as
-	// long: with a second, requests that don't need the full service found those
-	// slots taken.
+	minTarget    = 0.6
+	// drainTime is the time in which the backlog should be served. A request waits
+	// once for each of its calls and holds slots up the call chain meanwhile. With a
+	// drain time of one second, these slots were not available to requests that do
+	// not need the saturated service.
 	drainTime = 100 * time.Millisecond
-	// highestRatio bounds the ratio, and so how much one look closes the entries.
-	highestRatio = 4.0
+	// maxRatio bounds the ratio, and thereby how far a single observation closes the
+	// gates.
+	maxRatio = 4.0
 )
 
-// Meter measures how much is offered to a backend server. The zero value is
-// ready. It is not safe for concurrent use.
+// Meter measures the load offered to a backend server. The zero value is ready for
+// use. Meter is not safe for concurrent use.
 //
-// Offered is the slot time of what arrives, whether it is served, waits or is
-// refused: what runs and waits says nothing of how far the demand lies above the
-// slots, and entry nodes would find that out in steps of a second each.
+// The offered load is the slot time of all requests that arrive, whether they are
+// served, wait or are refused. The requests that run and wait do not show by how much
+// the demand exceeds the slots; with these alone, entry nodes would have to find that
+// out in steps of one second each.
 type Meter struct {
-	// running and offered are in slots, backlog in slot seconds.
-	running float64
-	offered float64
-	backlog float64
-	at      time.Duration
-	started bool
+	// running and offered are moving averages in slots; backlog is one in slot
+	// seconds.
+	running    float64
+	offered    float64
+	backlog    float64
+	observedAt time.Duration
+	started    bool
 }
 
-// Observe takes in how many requests are in service, and the slot time of those
-// that wait.
+// Observe updates the averages with the number of requests in service since the last
+// call, and with the slot time of the waiting requests.
 func (m *Meter) Observe(now time.Duration, running int, backlog time.Duration) {
 	if !m.started {
 		m.started = true
-		m.at = now
+		m.observedAt = now
 		return
 	}
 	weight := m.advance(now)
@@ -52,36 +57,37 @@
 	m.offered -= weight * m.offered
 }
 
-// advance returns the weight of what is observed now.
+// advance returns the weight of an observation at now.
 func (m *Meter) advance(now time.Duration) float64 {
-	passed := now - m.at
-	m.at = now
-	return 1 - math.Exp(-passed.Seconds()/meterTime.Seconds())
+	elapsed := now - m.observedAt
+	m.observedAt = now
+	return 1 - math.Exp(-elapsed.Seconds()/meterTimeConstant.Seconds())
 }
 
-// Arrived takes in a request that takes so much slot time.
+// Arrived adds a request that takes the given slot time to the offered load.
 func (m *Meter) Arrived(slotTime time.Duration) {
-	m.offered += slotTime.Seconds() / meterTime.Seconds()
+	m.offered += slotTime.Seconds() / meterTimeConstant.Seconds()
 }
 
-// Rejected takes back a request that the server has rejected without running it. A
-// server that rejects half of what it gets has the slots for the rest, however
-// often that is sent to it.
+// Rejected subtracts a request that the server has rejected without running it. A
+// server that rejects half of its requests has the slots for the rest, however often
+// the rejected requests are retried.
 func (m *Meter) Rejected(slotTime time.Duration) {
-	m.offered = max(m.offered-slotTime.Seconds()/meterTime.Seconds(), 0)
+	m.offered = max(m.offered-slotTime.Seconds()/meterTimeConstant.Seconds(), 0)
 }
 
-// Ratio returns how much is offered, as a multiple of what a server with so many
-// slots serves well.
+// Ratio returns the offered load as a multiple of the capacity, which is the number
+// of slots times the target utilisation. It is at most maxRatio.
 func (m *Meter) Ratio(slots int) float64 {
 	if slots < 1 {
 		return 0
 	}
-	capacity := float64(slots) * target(slots)
-	return min((max(m.running, m.offered)+m.backlog/drainTime.Seconds())/capacity, highestRatio)
+	capacity := float64(slots) * targetUtilisation(slots)
+	return min((max(m.running, m.offered)+m.backlog/drainTime.Seconds())/capacity, maxRatio)
 }
 
-// target is the proportion of its slots up to which a server serves well.
-func target(slots int) float64 {
-	return max(1-targetMargin/math.Sqrt(float64(slots)), lowestTarget)
+// targetUtilisation returns the fraction of its slots in use, on average, at which a
+// server counts as saturated.
+func targetUtilisation(slots int) float64 {
+	return max(1-targetMargin/math.Sqrt(float64(slots)), minTarget)
 }
--- a/core/pressure/pressure_test.go
+++ b/core/pressure/pressure_test.go
@@ -11,20 +11,20 @@
 	"coltsfootward/core/pressure"
 )
 
-// A class that makes one call and another that makes four, to the same route, run
-// side by side, and a third one makes none. The calls name no parent. Taken for
-// one that needs the deep service, the third would be refused whenever that one
-// is full, though it could be served.
-func TestCalleesTellClassesApart(t *testing.T) {
+// Three classes run side by side: one makes one call, one makes four calls to the
+// same route, and one makes none. The calls do not name their parent request. If the
+// third class were taken for a caller, it would be refused whenever the called
+// service is saturated, although it could be served.
+func TestCalleesDistinguishClasses(t *testing.T) {
 	for seed := range uint64(8) {
-		testCallees(t, rand.New(rand.NewPCG(seed, 2)))
+		checkClassesDistinguished(t, rand.New(rand.NewPCG(seed, 2)))
 	}
 }
 
-func testCallees(t *testing.T, source *rand.Rand) {
+func checkClassesDistinguished(t *testing.T, source *rand.Rand) {
 	t.Helper()
 	var c pressure.Callees
-	perRun := map[coltsfootward.RouteName]int{"one": 1, "four": 4, "none": 0}
+	callsPerRequest := map[coltsfootward.RouteName]int{"one": 1, "four": 4, "none": 0}
 	type job struct {
 		class coltsfootward.RouteName
 		calls int
@@ -36,7 +36,7 @@
 		now += 10 * time.Millisecond
 		if len(running) < 8 && source.IntN(3) > 0 {
 			class := []coltsfootward.RouteName{"one", "four", "none"}[source.IntN(3)]
-			running = append(running, job{class: class, calls: perRun[class], began: now})
+			running = append(running, job{class: class, calls: callsPerRequest[class], began: now})
 			continue
 		}
 		if len(running) == 0 {
@@ -62,10 +62,10 @@
 	}
 }
 
-// Two classes always run side by side, so that nothing but chance tells which of
-// them makes the calls. Then the calls begin to fail, and with them the requests of
-// one class only: the other one does not need the deep service.
-func TestFailuresTellWhoNeedsTheDeepService(t *testing.T) {
+// Two classes always run side by side, so the calls cannot be attributed by timing.
+// Then the calls begin to fail, and requests of only one class fail with them. The
+// other class does not need the called service.
+func TestCalleesAttributeCallsByFailures(t *testing.T) {
 	var c pressure.Callees
 	now := time.Duration(0)
 	for i := range 400 {
@@ -86,10 +86,10 @@
 	}
 }
 
-// Configurations give routes new names again and again. The names of old ones kept
-// all places for classes, and a node that had run for long knew of no present class
-// which services it needs: under overload the least important requests passed.
-func TestCalleesForgetOldNames(t *testing.T) {
+// Guards against route names of old configurations that fill all places for classes.
+// A node that had run for a long time then did not know which services the current
+// classes need, and under overload the least important requests were admitted.
+func TestCalleesReplaceOldRouteNames(t *testing.T) {
 	var c pressure.Callees
 	now := time.Duration(0)
 	for generation := range 40 {
@@ -108,11 +108,11 @@
 	}
 }
 
-// Two classes always run side by side, so that nothing but chance tells which of
-// them makes the calls. Then the deep service fills up: its calls take four times
-// as long, and so do the requests that make them. Nodes that took one class for the
-// other had the most important requests refused in place of the least important.
-func TestDelaysTellWhoNeedsTheDeepService(t *testing.T) {
+// Two classes always run side by side, so the calls cannot be attributed by timing.
+// Then the called service saturates: its calls take four times as long, and so do the
+// requests that make them. Nodes that confused the two classes had the most important
+// requests refused instead of the least important ones.
+func TestCalleesAttributeCallsByDelays(t *testing.T) {
 	var c pressure.Callees
 	now := time.Duration(0)
 	for i := range 400 {
@@ -136,12 +136,12 @@
 	}
 }
 
-// In the middle of the run the services below become five times slower, so that a
-// class takes as much longer for the same calls. Another one that makes none takes
-// as long as ever. Fitted to their time in service, it seemed to make some of the
-// calls, and half of it was refused for want of room at a service that it does not
-// need.
-func TestCalleesOfClassThatSlowsDown(t *testing.T) {
+// Halfway through the run, the called services become five times slower, so a class
+// takes longer by that much for the same calls. Another class that makes no calls
+// keeps its service time. A fit of calls per time in service attributed some of the
+// calls to it, and half of its requests were refused for lack of capacity at a
+// service that it does not need.
+func TestCalleesWhenOneClassSlowsDown(t *testing.T) {
 	for seed := range uint64(8) {
 		source := rand.New(rand.NewPCG(seed, 11))
 		var c pressure.Callees
@@ -178,25 +178,26 @@
 	}
 }
 
-// plant is a deep service behind services that take lag to pass what the gate
-// lets through.
-type plant struct {
+// simulation is a service at the end of a call chain. The load that its gate admits
+// shows at the service with a delay.
+type simulation struct {
 	throttle pressure.Throttle
 	gates    pressure.Gates
 	source   *rand.Rand
 	now      time.Duration
-	// passed holds how much was let through, a slot for each 10 ms.
-	passed []float64
+	// admitted holds the admitted load in multiples of the capacity, with one entry
+	// per 10 ms.
+	admitted []float64
 }
 
-const plantStep = 10 * time.Millisecond
+const simulationStep = 10 * time.Millisecond
 
-// run offers demand, in multiples of the capacity, for d and returns what reached
-// the service on average over the last second, in the same unit.
-func (p *plant) run(demand float64, d time.Duration) float64 {
+// run offers demand, in multiples of the capacity, for d. It returns the average load
+// that reached the service in the last second, in the same unit.
+func (p *simulation) run(demand float64, d time.Duration) float64 {
 	const perStep, lag = 20, 60
-	for range int(d / plantStep) {
-		p.now += plantStep
+	for range int(d / simulationStep) {
+		p.now += simulationStep
 		admitted := 0
 		for range perStep {
 			rank := uint32(1)<<28 | uint32(p.source.IntN(3))<<26 | p.source.Uint32N(1<<26)
@@ -205,25 +206,25 @@
 			}
 		}
 		p.gates.Tick(p.now)
-		p.passed = append(p.passed, demand*float64(admitted)/perStep)
-		if len(p.passed) > lag {
-			p.throttle.Observe(p.now, p.passed[len(p.passed)-lag])
+		p.admitted = append(p.admitted, demand*float64(admitted)/perStep)
+		if len(p.admitted) > lag {
+			p.throttle.Observe(p.now, p.admitted[len(p.admitted)-lag])
 			p.gates.Answered(p.now, "quotes", []pressure.Reported{{Service: "deep", Excess: p.throttle.Excess()}})
 		}
 	}
 	sum := 0.0
-	last := p.passed[len(p.passed)-100:]
+	last := p.admitted[len(p.admitted)-100:]
 	for _, x := range last {
 		sum += x
 	}
 	return sum / float64(len(last))
 }
 
-// A burst asks twice of a deep service what it has, and what is let pass shows
-// there 0.6 s later. A gate that answers the same overload again until it shows
-// swings between shut and open and serves little more than half.
+// A burst offers twice the capacity of a service, and the admitted load shows there
+// 0.6 s later. A gate that corrects the same overload again and again until the
+// effect shows oscillates between closed and open, and serves little more than half.
 func TestGateSettlesAtCapacity(t *testing.T) {
-	p := &plant{source: rand.New(rand.NewPCG(3, 4))}
+	p := &simulation{source: rand.New(rand.NewPCG(3, 4))}
 	if got := p.run(0.5, 3*time.Second); got < 0.49 {
 		t.Fatalf("calm: %.2f of the capacity reached the service, want all of the demand, 0.5", got)
 	}
@@ -239,20 +240,20 @@
 	}
 }
 
-// Two entry nodes hear of the same servers, one of them rarely. An overload lasts
-// for minutes at which both should refuse the same part of their demand. When each
-// summed up by itself what it had heard, one of them refused nearly everything and
-// the other nearly nothing for as long as it lasted.
-func TestGatesOfTwoNodesStayTogether(t *testing.T) {
+// Two entry nodes receive reports of the same servers, one of them rarely. During an
+// overload of several minutes, both should refuse the same fraction of their demand.
+// When each node accumulated the reports in its own state, one refused nearly
+// everything and the other nearly nothing for the whole overload.
+func TestGatesOfTwoNodesAgree(t *testing.T) {
 	var throttle pressure.Throttle
-	var often, rarely pressure.Gates
+	var frequent, rare pressure.Gates
 	source := rand.New(rand.NewPCG(13, 14))
-	passed := make(map[*pressure.Gates]float64)
+	fractions := make(map[*pressure.Gates]float64)
 	const perStep, demand = 20, 1.8
 	for step := range 6000 {
-		now := time.Duration(step) * plantStep
+		now := time.Duration(step) * simulationStep
 		load := 0.0
-		for _, g := range []*pressure.Gates{&often, &rarely} {
+		for _, g := range []*pressure.Gates{&frequent, &rare} {
 			admitted := 0
 			for range perStep {
 				if _, ok := g.Admit("quotes", uint32(1)<<28|source.Uint32N(1<<28)); ok {
@@ -261,24 +262,24 @@
 			}
 			g.Tick(now)
 			load += demand / 2 * float64(admitted) / perStep
-			passed[g] += 0.01 * (float64(admitted)/perStep - passed[g])
+			fractions[g] += 0.01 * (float64(admitted)/perStep - fractions[g])
 		}
 		throttle.Observe(now, load)
-		told := []pressure.Reported{{Service: "deep", Excess: throttle.Excess()}}
-		often.Answered(now, "quotes", told)
+		reports := []pressure.Reported{{Service: "deep", Excess: throttle.Excess()}}
+		frequent.Answered(now, "quotes", reports)
 		if step%30 == 0 {
-			rarely.Answered(now, "quotes", told)
+			rare.Answered(now, "quotes", reports)
 		}
-		if step > 1000 && math.Abs(passed[&often]-passed[&rarely]) > 0.15 {
-			t.Fatalf("at %v: one node lets %.2f pass and the other %.2f, want the same", now, passed[&often], passed[&rarely])
+		if step > 1000 && math.Abs(fractions[&frequent]-fractions[&rare]) > 0.15 {
+			t.Fatalf("at %v: one node admits %.2f of its demand and the other %.2f, want the same", now, fractions[&frequent], fractions[&rare])
 		}
 	}
 }
 
-// Under twice the capacity the least important third of the demand and half of
-// the next go, and the most important is served whole.
-func TestGateRefusesTheLeastImportant(t *testing.T) {
-	p := &plant{source: rand.New(rand.NewPCG(5, 6))}
+// At twice the capacity, the least important third of the demand and half of the next
+// third are refused, and all of the most important third is served.
+func TestGateRefusesLeastImportantFirst(t *testing.T) {
+	p := &simulation{source: rand.New(rand.NewPCG(5, 6))}
 	p.run(2, 8*time.Second)
 	served := make(map[int]int)
 	const tries = 300
@@ -294,41 +295,41 @@
 	}
 }
 
-// Requests that need no full service go on.
-func TestGateLeavesOtherClassesAlone(t *testing.T) {
-	p := &plant{source: rand.New(rand.NewPCG(7, 8))}
+// Requests that need no saturated service are admitted.
+func TestGateAdmitsUnrelatedClasses(t *testing.T) {
+	p := &simulation{source: rand.New(rand.NewPCG(7, 8))}
 	p.run(3, 5*time.Second)
 	if _, ok := p.gates.Admit("files", math.MaxUint32>>2); !ok {
-		t.Error("a class that does not need the full service was refused")
+		t.Error("a class that does not need the saturated service was refused")
 	}
 }
 
-// Once all of a class is refused, no answer tells any more how full the service
-// is. Without news the gate opens by itself.
-func TestGateOpensWithoutNews(t *testing.T) {
-	p := &plant{source: rand.New(rand.NewPCG(9, 10))}
+// Once a class is refused completely, no response reports the load of the service any
+// more. Without reports the gate reopens.
+func TestGateReopensWithoutReports(t *testing.T) {
+	p := &simulation{source: rand.New(rand.NewPCG(9, 10))}
 	p.run(4, 5*time.Second)
 	for range 40 {
 		p.now += 100 * time.Millisecond
 		p.gates.Tick(p.now)
 	}
 	if _, ok := p.gates.Admit("quotes", 1<<30-1); !ok {
-		t.Error("got a refusal 4 s after the last news, want none")
+		t.Error("got a refusal 4 s after the last report, want none")
 	}
 }
 
-// A server with all slots busy and a queue is over 1, one that is half busy is
-// well below it, and work refused for want of room counts as offered.
+// The ratio of a server with all slots busy and a queue is above 1, that of a
+// half-busy server is well below 1, and refused work counts as offered.
 func TestMeterRatio(t *testing.T) {
 	run := func(running int, backlog, arriving time.Duration) float64 {
 		var m pressure.Meter
-		for now := time.Duration(0); now < 2*time.Second; now += plantStep {
+		for now := time.Duration(0); now < 2*time.Second; now += simulationStep {
 			m.Observe(now, running, backlog)
 			m.Arrived(arriving)
 		}
 		return m.Ratio(12)
 	}
-	// 10 ms of slot time arriving in each 10 ms is one slot's worth.
+	// 10 ms of slot time per 10 ms occupies one slot.
 	if got := run(6, 0, 60*time.Millisecond); got < 0.5 || got > 0.7 {
 		t.Errorf("half busy: got %.2f, want about 0.6", got)
 	}
@@ -340,17 +341,18 @@
 	}
 }
 
-// A service is asked for three times what it has, and most of it is refused in the
-// queue. Measured by what runs and waits, every demand above the slots looked the
-// same, and the entries closed by half each second while requests that had begun
-// failed. The ratio is to tell three times from one and a half.
-func TestMeterTellsHowFarTheDemandLiesAbove(t *testing.T) {
+// A service is offered three times its capacity, and most of it is refused in the
+// queue. When the load was measured by the running and waiting requests, every demand
+// above the slots looked the same, and the gates closed by half each second while
+// requests that had already started failed. The ratio must distinguish a demand of 3
+// from one of 1.5.
+func TestMeterRatioFollowsDemandAboveCapacity(t *testing.T) {
 	ratio := func(demand float64) float64 {
 		var m pressure.Meter
 		const slots = 40
-		for now := time.Duration(0); now < time.Second; now += plantStep {
+		for now := time.Duration(0); now < time.Second; now += simulationStep {
 			m.Observe(now, slots, 0)
-			m.Arrived(time.Duration(demand * slots * float64(plantStep)))
+			m.Arrived(time.Duration(demand * slots * float64(simulationStep)))
 		}
 		return m.Ratio(slots)
 	}
@@ -361,12 +363,12 @@
 	}
 }
 
-// A faulty server rejects half of what it gets, whatever its load, and what it
-// rejects is sent again. Counted as offered, the repeats had entries refuse callers
-// while the server stood half empty.
-func TestMeterLeavesOutWhatAServerRejects(t *testing.T) {
+// A faulty server rejects half of its requests at any load, and the rejected requests
+// are retried. When the retries counted as offered load, entry nodes refused callers
+// while half of the server's slots were free.
+func TestMeterExcludesRejectedRequests(t *testing.T) {
 	var m pressure.Meter
-	for now := time.Duration(0); now < 2*time.Second; now += plantStep {
+	for now := time.Duration(0); now < 2*time.Second; now += simulationStep {
 		m.Observe(now, 6, 0)
 		m.Arrived(120 * time.Millisecond)
 		m.Rejected(60 * time.Millisecond)
@@ -376,30 +378,30 @@
 	}
 }
 
-// A service is asked for twice what it has. Two kinds of request are equally
-// important; one takes four times the other's slot time. Refused by chance alone,
-// half of all callers went away. The cheap ones are to be served nearly whole, and
-// of the dear ones a part that is in proportion to what is served of the others, so
-// that a longer overload starves nobody.
-func TestDearRequestsMakeRoom(t *testing.T) {
+// A service is offered twice its capacity by two classes of equal importance, one of
+// which takes four times the slot time of the other. When requests were refused at
+// random, half of all callers gave up. Nearly all cheap requests must be served, and
+// a share of the expensive ones in proportion to the share of the others, so that a
+// longer overload starves no class.
+func TestExpensiveRequestsAreRefusedFirst(t *testing.T) {
 	for _, test := range []struct {
-		excess            float64
-		leastCheap, least float64
-		mostDear          float64
+		excess                 float64
+		minCheap, minExpensive float64
+		maxExpensive           float64
 	}{
-		{excess: 0.3, leastCheap: 0.95, least: 0.3, mostDear: 0.7},
-		{excess: 0.8, leastCheap: 0.2, least: 0.05, mostDear: 0.25},
+		{excess: 0.3, minCheap: 0.95, minExpensive: 0.3, maxExpensive: 0.7},
+		{excess: 0.8, minCheap: 0.2, minExpensive: 0.05, maxExpensive: 0.25},
 	} {
 		source := rand.New(rand.NewPCG(19, 20))
 		var g pressure.Gates
 		served := make(map[coltsfootward.RouteName]float64)
 		const steps, kinds = 2000, 4
 		for step := range steps {
-			now := time.Duration(step) * plantStep
+			now := time.Duration(step) * simulationStep
 			for kind := range kinds {
 				class, cost := coltsfootward.RouteName("cheap"), 0.12
 				if kind == 0 {
-					class, cost = "dear", 0.48
+					class, cost = "expensive", 0.48
 				}
 				rank := uint32(6)<<26 | source.Uint32N(1<<26)
 				if _, ok := g.Admit(class, rank); ok && step >= steps/2 {
@@ -409,21 +411,21 @@
 			}
 			g.Tick(now)
 		}
-		cheap, dear := served["cheap"]/(steps/2*(kinds-1)), served["dear"]/(steps/2)
-		if cheap < test.leastCheap || dear < test.least || dear > test.mostDear {
-			t.Errorf("%.1f to refuse: served %.2f of the cheap and %.2f of the dear requests", test.excess, cheap, dear)
+		cheap, expensive := served["cheap"]/(steps/2*(kinds-1)), served["expensive"]/(steps/2)
+		if cheap < test.minCheap || expensive < test.minExpensive || expensive > test.maxExpensive {
+			t.Errorf("excess %.1f: served %.2f of the cheap and %.2f of the expensive requests", test.excess, cheap, expensive)
 		}
-		if work := (cheap*0.12*(kinds-1) + dear*0.48) / (0.12*(kinds-1) + 0.48); math.Abs(work-(1-test.excess)) > 0.1 {
-			t.Errorf("%.1f to refuse: %.2f of the work was let pass", test.excess, work)
+		if work := (cheap*0.12*(kinds-1) + expensive*0.48) / (0.12*(kinds-1) + 0.48); math.Abs(work-(1-test.excess)) > 0.1 {
+			t.Errorf("excess %.1f: %.2f of the work was admitted", test.excess, work)
 		}
 	}
 }
 
-// On a server that is nearly full a class without any further calls takes longer,
-// while the calls that others make from there do so too. Taken for a caller of the
-// service that is called, it was refused whenever that one was full: a quarter of
-// the requests that it could have served.
-func TestSlowServerDoesNotMakeACaller(t *testing.T) {
+// On a nearly saturated server, a class without child calls takes longer, and so do
+// the calls that other classes make from there. When the class was taken for a
+// caller, it was refused whenever the called service was saturated: a quarter of its
+// requests that could have been served.
+func TestCalleesOnSlowServer(t *testing.T) {
 	source := rand.New(rand.NewPCG(21, 22))
 	var c pressure.Callees
 	at := make(map[int][]func(time.Duration))
@@ -460,9 +462,9 @@
 	}
 }
 
-// Guards against a server's load that depends on how often its node looks at it: a
-// node at rest looks seldom.
-func TestMeterDoesNotDependOnHowOftenItIsAsked(t *testing.T) {
+// Guards against a measured load that depends on how often the node observes the
+// server: an idle node observes it rarely.
+func TestMeterRatioIndependentOfObservationRate(t *testing.T) {
 	ratio := func(tick time.Duration) float64 {
 		var m pressure.Meter
 		running := 0
@@ -479,14 +481,14 @@
 	}
 	quick, slow := ratio(time.Millisecond), ratio(50*time.Millisecond)
 	if math.Abs(quick-slow) > 0.01*quick {
-		t.Errorf("got a ratio of %.4f looked at each ms and %.4f each 50 ms, want the same", quick, slow)
+		t.Errorf("got a ratio of %.4f when observed each ms and %.4f each 50 ms, want the same", quick, slow)
 	}
 }
 
-// Guards against an entry node that hears of a service twice a second and follows its
-// overload seconds later than one that hears of it all the time.
-func TestGateFollowsRareReportsAsSoonAsFrequentOnes(t *testing.T) {
-	passed := func(every time.Duration) float64 {
+// Guards against an entry node that receives two reports per second about a service,
+// and therefore follows its overload seconds later than a node that receives many.
+func TestGateFollowsRareReports(t *testing.T) {
+	admitted := func(every time.Duration) float64 {
 		var g pressure.Gates
 		now := time.Second
 		g.Answered(now, "quotes", []pressure.Reported{{Service: "quotes", Excess: 0}})
@@ -496,25 +498,25 @@
 		}
 		return g.State(now, "quotes").Passed
 	}
-	if frequent, rare := passed(35*time.Millisecond), passed(400*time.Millisecond); rare > frequent+0.1 {
-		t.Errorf("got %.2f let pass with a report each 400 ms and %.2f with one each 35 ms, want about the same", rare, frequent)
+	if frequent, rare := admitted(35*time.Millisecond), admitted(400*time.Millisecond); rare > frequent+0.1 {
+		t.Errorf("got %.2f admitted with a report each 400 ms and %.2f with one each 35 ms, want about the same", rare, frequent)
 	}
 }
 
-// Guards against a server that stands part empty for seconds where what it says takes
-// twice as long to show as the throttle takes into account.
-func TestThrottleOpensWhileTheServerIsIdle(t *testing.T) {
+// Guards against a server that is partly idle for seconds when its reports take twice
+// as long to show as the throttle assumes.
+func TestThrottleRecoversWhileServerIsIdle(t *testing.T) {
 	const lag = 2 * time.Second
 	var throttle pressure.Throttle
 	var history []float64
 	idle := 0
 	const step = 100 * time.Millisecond
 	for now := time.Duration(0); now < 20*time.Second; now += step {
-		passed := 1.0
+		admitted := 1.0
 		if i := len(history) - int(lag/step); i >= 0 {
-			passed = history[i]
+			admitted = history[i]
 		}
-		ratio := 1.5 * passed
+		ratio := 1.5 * admitted
 		throttle.Observe(now, ratio)
 		history = append(history, 1-throttle.Excess())
 		if now >= 6*time.Second && ratio < 0.7 {
@@ -522,6 +524,6 @@
 		}
 	}
 	if limit := 4 * int(time.Second/step); idle > limit {
-		t.Errorf("the server was more than 0.3 idle for %d of 140 steps, want at most %d", idle, limit)
+		t.Errorf("the ratio was below 0.7 for %d of 140 steps, want at most %d", idle, limit)
 	}
 }
