--- a/core/admission/adaptive_lifo.go
+++ b/core/admission/adaptive_lifo.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// swing is how long a queue may be, in time, to count as a swing that passes.
-const swing = 50 * time.Millisecond
+// shortQueue is the length of a queue, in time, up to which it counts as a passing
+// fluctuation.
+const shortQueue = 50 * time.Millisecond
 
-// firstTurn is the rank of the first deep request that waits; later ones go behind
-// it or before it.
-const firstTurn = 1 << 31
+// initialRank is the rank of the first waiting deep request. Later requests are
+// ranked behind or ahead of it.
+const initialRank = 1 << 31
 
-// turns orders deep requests whose ranks are chance: calls that do not name the
-// request that they are made for.
+// adaptiveLIFO orders deep requests whose ranks are random because the calls do not
+// name their parent request.
 //
-// The load that it is made for: each request makes four such calls, one after the
-// other. By a rank of their own, of four calls the one that draws the worst waits
-// until it is refused, and the work for the other three is lost. In a queue that is
-// short they go by age, so that each waits a little and none is refused. In a long
-// one that would have all of them wait until their requests' time is over; there the
-// newest goes first: a request whose earlier calls were served goes on at once, and
-// only those fail that are stuck already.
+// The design load is requests that each make four such calls, one after the other. If
+// each call had a random rank, the one of the four with the worst rank would wait
+// until it is refused, and the work for the other three would be lost. In a short
+// queue the calls are therefore served in order of arrival, so that each waits a
+// little and none is refused. In a long queue that order would let all of them wait
+// until their requests' deadlines have passed. There the newest call goes first: a
+// request whose earlier calls were served proceeds at once, and only requests that
+// are already stuck fail.
 //
-// The zero value is ready.
-type turns struct {
-	behind, before uint32
+// The zero value is ready for use.
+type adaptiveLIFO struct {
+	appended, prepended uint32
 }
 
-// next returns the rank of a request that comes to a queue of that length, and
-// whether it goes before all that wait.
-func (t *turns) next(length time.Duration, empty bool) (rank uint32, first bool) {
+// assign returns the rank of a request that joins a queue of the given length, and
+// whether the request goes ahead of all waiting ones.
+func (t *adaptiveLIFO) assign(length time.Duration, empty bool) (rank uint32, first bool) {
 	if empty {
-		*t = turns{}
+		*t = adaptiveLIFO{}
 	}
-	if length <= swing {
-		t.behind++
-		return firstTurn + t.behind, false
+	if length <= shortQueue {
+		t.appended++
+		return initialRank + t.appended, false
 	}
-	t.before++
-	return firstTurn - t.before, true
+	t.prepended++
+	return initialRank - t.prepended, true
 }
--- a/core/admission/benchmark_test.go
+++ b/core/admission/benchmark_test.go
@@ -9,7 +9,7 @@
 	"coltsfootward/core/admission"
 )
 
-// BenchmarkDecision is one request from its arrival to the end of its service
+// BenchmarkDecision measures one request, from its arrival to the end of its service,
 // on a node whose queue holds a standing backlog of 40 organisations.
 func BenchmarkDecision(b *testing.B) {
 	c := admission.NewController(120)
--- a/core/admission/cold.go
+++ b/core/admission/cold.go
@@ -6,34 +6,37 @@
 )
 
 const (
-	// coldWindow is the span in which a cold server's starts are counted.
+	// coldWindow is the length of the sliding window in which starts at a cold server
+	// are counted.
 	coldWindow = time.Second
-	// coldWait is how long a request may wait for a cold server, which bounds its
-	// queue: who waits longer is served sooner elsewhere, or told to come back.
-	coldWait = 70 * time.Millisecond
+	// maxColdWait is how long a request may wait for a cold server, which bounds the
+	// queue. A request that would wait longer is served sooner elsewhere, or its
+	// caller is asked to retry later.
+	maxColdWait = 70 * time.Millisecond
 )
 
-// ColdStart bounds the starts at a cold backend server: no more in any one second
-// than it bears, and these spread evenly.
+// ColdStart limits the starts of requests at a cold backend server: no more in any
+// window of one second than the server can handle, and evenly spaced.
 //
-// The load that it answers: a server that has just started would get its share of
-// the full demand, crash under it, and come back cold to the same demand again. It
-// counts starts also while the server is warm, since it may turn cold at any moment
-// and what it got just before counts then.
+// Without the limit, a server that has just started would receive its share of the
+// full demand, crash under it, and come back cold to the same demand. Starts are
+// counted while the server is warm as well, because it may become cold at any moment,
+// and the requests that it has just received count then.
 //
-// The zero value bounds nothing. It is not safe for concurrent use.
+// The zero value limits nothing. ColdStart is not safe for concurrent use.
 type ColdStart struct {
 	rate float64
-	// next is when the next start may be.
+	// next is the earliest time of the next start.
 	next time.Duration
-	// starts is a ring of the latest starts, the oldest at position oldest.
+	// starts is a ring buffer of the latest starts; oldest is the index of the oldest
+	// one.
 	starts []time.Duration
 	oldest int
 }
 
-// SetRate sets how many requests a second the server bears while it is cold; zero
-// means that it bears all. began is when the caller began to count: what started
-// before is not known, so it counts for as much as there may have been.
+// SetRate sets how many requests per second the server can handle while it is cold;
+// zero means no limit. began is the time from which the caller has counted starts.
+// Earlier starts are unknown, so the full rate is assumed to have started at began.
 func (s *ColdStart) SetRate(rate float64, began time.Duration) {
 	if rate == s.rate {
 		return
@@ -46,10 +49,10 @@
 	}
 }
 
-// Bounds reports whether cold servers bear less than all.
+// Bounds reports whether there is a limit for cold servers.
 func (s *ColdStart) Bounds() bool { return s.rate > 0 }
 
-// Wait returns how long it takes until a request may start at a server that is cold.
+// Wait returns the time until a request may start at a cold server.
 func (s *ColdStart) Wait(now time.Duration) time.Duration {
 	if !s.Bounds() {
 		return 0
@@ -57,7 +60,7 @@
 	return max(s.next-now, s.starts[s.oldest]+coldWindow-now, 0)
 }
 
-// Started counts a start.
+// Started records a start.
 func (s *ColdStart) Started(now time.Duration) {
 	if !s.Bounds() {
 		return
@@ -67,10 +70,10 @@
 	s.next = now + time.Duration(float64(coldWindow)/s.rate)
 }
 
-// Room is how many requests may wait for a cold server.
+// Room returns how many requests may wait for a cold server.
 func (s *ColdStart) Room(now time.Duration) int {
-	if s.Wait(now) > coldWait {
+	if s.Wait(now) > maxColdWait {
 		return 0
 	}
-	return max(int(math.Round(s.rate*coldWait.Seconds())), 1)
+	return max(int(math.Round(s.rate*maxColdWait.Seconds())), 1)
 }
--- a/core/admission/cold_test.go
+++ b/core/admission/cold_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against more starts in some second than a cold server bears, however the
-// demand comes and whenever the server turns cold.
-func TestColdServerGetsNoMoreInAnySecond(t *testing.T) {
+// Guards against more starts in any second than a cold server can handle, whatever
+// the arrival times.
+func TestColdStartRateInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 40).Draw(t, "rate"))
 		now := time.Hour
@@ -42,8 +42,9 @@
 	})
 }
 
-// A node that has just started does not know what its predecessor has sent.
-func TestColdServerGetsNothingUntilThePastIsKnown(t *testing.T) {
+// A node that has just started does not know how many requests its predecessor has
+// sent.
+func TestColdStartAssumesFullRateBeforeBegin(t *testing.T) {
 	var s admission.ColdStart
 	s.SetRate(15, time.Hour)
 	if s.Wait(time.Hour+990*time.Millisecond) == 0 {
@@ -54,8 +55,9 @@
 	}
 }
 
-// A warm server that got many requests turns cold: what it has just got counts.
-func TestStartsBeforeTheColdTimeCount(t *testing.T) {
+// Guards against starts that are forgotten when a warm server becomes cold: the
+// requests that it has just received count.
+func TestColdStartCountsStartsWhileWarm(t *testing.T) {
 	var s admission.ColdStart
 	s.SetRate(15, 0)
 	now := time.Hour
@@ -63,11 +65,11 @@
 		s.Started(now)
 	}
 	if s.Wait(now+900*time.Millisecond) == 0 {
-		t.Error("a start is allowed in the second of 100 others, want none")
+		t.Error("a start is allowed within a second of 100 others, want none")
 	}
 }
 
-func TestColdServerIsUsedAsFarAsItBears(t *testing.T) {
+func TestColdStartUsesFullRate(t *testing.T) {
 	var s admission.ColdStart
 	s.SetRate(15, 0)
 	got := 0
@@ -82,8 +84,9 @@
 	}
 }
 
-// Guards against requests that wait for a cold server until their time is over.
-func TestColdServerHasAShortQueue(t *testing.T) {
+// Guards against requests that wait for a cold server until their deadline has
+// passed.
+func TestColdServerQueueLimit(t *testing.T) {
 	c := admission.NewController(100)
 	now := time.Hour
 	c.SetCold(true, 3)
@@ -97,10 +100,10 @@
 	}
 	for _, r := range refused {
 		if r.Reason != admission.ReasonCold || r.Request.ID == 11 {
-			t.Errorf("request %d is refused as %s, want only less important ones, as cold", r.Request.ID, r.Reason)
+			t.Errorf("request %d is refused as %s, want only less important ones, with reason cold", r.Request.ID, r.Reason)
 		}
 	}
 	if c.Overloaded(now) {
-		t.Error("the server counts as overloaded, want that cold refusals say nothing of the demand")
+		t.Error("the server counts as overloaded, want refusals while cold not to count")
 	}
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -7,53 +7,54 @@
 )
 
 const (
-	// queueFactor bounds the queue in multiples of the limit, and so its memory.
+	// queueFactor bounds the queue, and so its memory, in multiples of the limit.
 	queueFactor = 5
-	// freshWait is how much of its caller's time a fresh request may wait. Near
-	// full load the queue of a few slots swings over hundreds of milliseconds
-	// without any overload; who is refused then is refused for nothing. Half of
-	// the time is left for the service itself.
-	freshWait = 0.5
-	// burstWait is how long a deep request may wait in a burst, and waitTarget
-	// how long while there is a standing queue. Each one that waits holds slots
-	// of all services above it, so a long queue here fills those up.
-	burstWait  = 300 * time.Millisecond
-	waitTarget = 50 * time.Millisecond
-	// standingAfter is how long the queue must not have been empty to count as
-	// a standing queue and no longer as a burst.
+	// rootWaitFraction is the fraction of its timeout that a root request may wait.
+	// Near full load, the queue of a server with few slots fluctuates over hundreds
+	// of milliseconds without any overload, and refusals during such a fluctuation
+	// are unnecessary. The other half of the timeout is left for the service itself.
+	rootWaitFraction = 0.5
+	// deepBurstWait is how long a deep request may wait in a burst, and
+	// deepStandingWait is how long it may wait while there is a standing queue. Each
+	// waiting deep request holds slots at all services up the call chain, so a long
+	// queue here exhausts these slots.
+	deepBurstWait    = 300 * time.Millisecond
+	deepStandingWait = 50 * time.Millisecond
+	// standingAfter is the time without an empty queue after which the queue counts
+	// as a standing queue instead of a burst.
 	standingAfter = 300 * time.Millisecond
-	// trialInterval is the time between two requests that are let through
-	// although they seem to take too long: without them an estimate that has
-	// become wrong would never be corrected.
+	// trialInterval is the time between two requests that are admitted as trials
+	// although their estimate exceeds the deadline. Without trials, an estimate that
+	// has become wrong would never be corrected.
 	trialInterval = 500 * time.Millisecond
-	// overloadMemory is how long after the last refusal an overload has ended.
-	overloadMemory = time.Second
-	// firstReturn is how soon the first refused callers are asked back: sooner
-	// they would spend their tries within the same burst. lastReturn is how
-	// late callers are asked back at most: a refusal costs little, and callers
-	// that are asked to stay away longer than they wait are lost.
-	firstReturn = time.Second
-	lastReturn  = 1500 * time.Millisecond
+	// overloadHold is the time after the last refusal at which an overload ends.
+	overloadHold = time.Second
+	// minRetryAfter and maxRetryAfter bound the delay after which refused callers are
+	// asked to retry. With a shorter minimum, callers would use up their attempts
+	// within the same burst. With a longer maximum, callers that are not willing to
+	// wait so long would be lost, although a refusal costs little.
+	minRetryAfter = time.Second
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
-// Reason says why a request was refused.
+// Reason is the reason for which a request was refused.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonFull means that more important requests fill the queue.
-	ReasonFull Reason = "queue_full"
-	// ReasonWaited means that it waited as long as the queue lets requests wait.
+	// ReasonQueueFull means that the queue is full of more important requests.
+	ReasonQueueFull Reason = "queue_full"
+	// ReasonWaited means that the request has waited as long as the queue permits.
 	ReasonWaited Reason = "waited"
-	// ReasonDeadline means that it cannot end before its caller stops waiting.
+	// ReasonDeadline means that the request cannot end before its caller's deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonStartBy means that it cannot start before its entitlement ends.
+	// ReasonStartBy means that the request cannot start before its StartBy time.
 	ReasonStartBy Reason = "start_by"
-	// ReasonCold means that the server is cold and bears only few requests.
+	// ReasonCold means that the server is cold and can handle only few requests.
 	ReasonCold Reason = "cold"
 )
 
-// Refused is a request that will not be served. It has not begun.
+// Refused is a request that will not be served. It has not started.
 type Refused struct {
 	Request Request
 	Reason  Reason
@@ -64,71 +65,73 @@
 type Controller struct {
 	limiter *Limiter
 	shedder *Shedder
-	// patient lets deep requests wait like fresh ones, in the order of turns.
-	patient bool
-	turns   turns
-	queue   Queue
-	running map[RequestID]service
-	refused []Refused
-	// cold is set while the server is cold, coldRoom is how many may wait then.
-	cold     bool
-	coldRoom int
-	// emptied is when the queue was last empty.
-	emptied time.Duration
-	// overloadedSince is when refusing began, lastShed the latest refusal.
+	// deepWaits lets deep requests wait as long as root requests, ranked by lifo.
+	deepWaits bool
+	lifo      adaptiveLIFO
+	queue     Queue
+	running   map[RequestID]runningRequest
+	refused   []Refused
+	// cold is set while the server is cold; coldQueueLimit is how many requests may
+	// wait then.
+	cold           bool
+	coldQueueLimit int
+	// lastEmpty is the time when the queue was last empty.
+	lastEmpty time.Duration
+	// overloadedSince is the time when refusals began, lastShed the time of the
+	// latest refusal, and everShed is set after the first one.
 	overloadedSince, lastShed time.Duration
-	shed                      bool
+	everShed                  bool
 	lastTrial                 time.Duration
 }
 
-// service is a request in service.
-type service struct {
-	request Request
-	began   time.Duration
-	running int
+// runningRequest is a request in service.
+type runningRequest struct {
+	request     Request
+	began       time.Duration
+	concurrency int
 }
 
-// NewController returns a controller for a server with that many slots.
+// NewController returns a controller for a server with the given number of slots.
 func NewController(slots int) *Controller {
 	return &Controller{
 		limiter: NewLimiter(slots),
 		shedder: NewShedder(),
-		running: make(map[RequestID]service),
+		running: make(map[RequestID]runningRequest),
 	}
 }
 
 // FixLimit keeps the limit at the announced slots, or a twentieth below them if the
-// server does more so. It is for servers whose requests wait for further calls:
-// their latency rises with that of the services below, and fewer requests at once
-// do not help those.
+// server's throughput is higher there. It is for servers whose requests wait for
+// child calls: their latency rises with that of the called services, and lower
+// concurrency does not reduce that.
 func (c *Controller) FixLimit() { c.limiter.fixed = true }
 
-// LetDeepWait lets deep requests wait as long as fresh ones, in the order that turns
-// gives them. It is for deployments that refuse at the entry what a deep service has
-// no room for: what comes all the same is a swing that passes, and a request of ten
-// calls of which one in twenty is refused fails four times in ten, with all its work
-// lost.
-func (c *Controller) LetDeepWait() { c.patient = true }
+// LetDeepWait lets deep requests wait as long as root requests, in the order that
+// adaptiveLIFO gives them. It is for deployments whose entry nodes refuse the demand
+// that a deep service has no capacity for. Demand that still exceeds the capacity is
+// then a passing fluctuation, and refusals are expensive: if one in twenty calls is
+// refused, four in ten requests that make ten calls fail, with all their work lost.
+func (c *Controller) LetDeepWait() { c.deepWaits = true }
 
-// SetCold says whether the server is cold and gets few requests, and how many may
-// wait then.
-func (c *Controller) SetCold(cold bool, room int) { c.cold, c.coldRoom = cold, room }
+// SetCold sets whether the server is cold and gets few requests, and how many
+// requests may wait then.
+func (c *Controller) SetCold(cold bool, queueLimit int) { c.cold, c.coldQueueLimit = cold, queueLimit }
 
-// SetSlots changes the number of slots that the server announces.
+// SetSlots sets the number of slots that the server announces.
 func (c *Controller) SetSlots(slots int) { c.limiter.SetSlots(slots) }
 
 // Running returns the number of requests in service.
 func (c *Controller) Running() int { return len(c.running) }
 
-// Queued returns the number of requests that wait.
+// Queued returns the number of waiting requests.
 func (c *Controller) Queued() int { return c.queue.Len() }
 
-// Backlog returns the slot time of the requests that wait.
+// Backlog returns the expected slot time of the waiting requests.
 func (c *Controller) Backlog() time.Duration {
-	return time.Duration(c.queue.cost() * float64(time.Second))
+	return time.Duration(c.queue.totalCost() * float64(time.Second))
 }
 
-// Limit returns how many requests are served at once.
+// Limit returns how many requests may be in service at once.
 func (c *Controller) Limit() int { return c.limiter.Limit() }
 
 // Estimate returns how long a request of a class is expected to take.
@@ -140,81 +143,84 @@
 	return c.shedder.Level(organisation, class)
 }
 
-// RefusedBelow says that a further call of a request in service was refused for
-// want of capacity.
+// RefusedBelow records that a child call of a request in service was refused for lack
+// of capacity.
 func (c *Controller) RefusedBelow(id RequestID) {
 	if s, ok := c.running[id]; ok {
-		c.shedder.ShedBelow(s.request)
+		c.shedder.ChildShed(s.request)
 	}
 }
 
-// Offer takes in a request that arrived. Refused then tells whether it, or one
-// that matters less, was refused.
+// Offer processes the arrival of a request. If the request, or a less important one,
+// is refused, the next call of Refused returns it.
 func (c *Controller) Offer(now time.Duration, r Request) {
 	c.shedder.Arrived(now, r)
 	estimate := c.limiter.Estimate(r.Class)
 	r.cost = estimate.Seconds()
 	if c.queue.Len() == 0 {
-		c.emptied = now
+		c.lastEmpty = now
 	}
-	first := c.takeTurn(&r)
-	wait := c.wait(r, first)
-	if now+wait+estimate > r.Deadline && !c.trial(now, r) {
+	first := c.assignRank(&r)
+	wait := c.predictWait(r, first)
+	if now+wait+estimate > r.Deadline && !c.allowTrial(now, r) {
 		c.refuse(now, r, ReasonDeadline)
 		return
 	}
-	// A request that would start too late is refused now, while its caller can
-	// still go elsewhere, and not after it has waited in vain.
+	// A request that would start too late is refused now, while its caller can still
+	// go elsewhere, instead of after a useless wait.
 	if r.StartBy > 0 && now+wait >= r.StartBy {
 		c.refuse(now, r, ReasonStartBy)
 		return
 	}
 	c.queue.Push(r)
-	// The queue is full of what matters less than the newcomer as often as not.
-	// Refusing whoever comes last would invert priorities under the very load
-	// that they are made for.
-	reason := ReasonFull
+	// The full queue often holds requests that are less important than the new one.
+	// Refusing the newest request would invert priorities under the very load that
+	// they exist for.
+	reason := ReasonQueueFull
 	if c.cold {
 		reason = ReasonCold
 	}
-	for c.queue.Len() > c.room() {
+	for c.queue.Len() > c.queueLimit() {
 		victim, _ := c.queue.Evict()
 		c.refuse(now, victim, reason)
 	}
 }
 
-// room is how many requests may wait. Those that can start at once do not count.
-func (c *Controller) room() int {
+// queueLimit returns how many requests may wait. Requests that can start at once do
+// not count towards queueFactor.
+func (c *Controller) queueLimit() int {
 	if c.cold {
-		return c.coldRoom
+		return c.coldQueueLimit
 	}
 	free := max(c.Limit()-len(c.running), 0)
 	return queueFactor*c.Limit() + free
 }
 
-// takeTurn gives a deep request its place, if deep requests take turns. It reports
-// whether the place is before all others of its lane.
-func (c *Controller) takeTurn(r *Request) bool {
-	if !c.patient || !r.Deep {
+// assignRank sets the shed rank of a deep request if deepWaits is set. It reports
+// whether the request goes ahead of all others in its lane.
+func (c *Controller) assignRank(r *Request) bool {
+	if !c.deepWaits || !r.Deep {
 		return false
 	}
 	length := c.Backlog() / time.Duration(max(c.Limit(), 1))
 	var first bool
-	r.ShedRank, first = c.turns.next(length, c.queue.Len() == 0)
+	r.ShedRank, first = c.lifo.assign(length, c.queue.Len() == 0)
 	return first
 }
 
-// wait predicts how long a request would wait behind what leaves before it: its own
-// lane too, unless it is the first there.
-func (c *Controller) wait(r Request, first bool) time.Duration {
+// predictWait predicts how long a request would wait for the requests that leave
+// before it. These include the requests in its own lane, unless it goes ahead of
+// them.
+func (c *Controller) predictWait(r Request, first bool) time.Duration {
 	if len(c.running) < c.Limit() && c.queue.Len() == 0 {
 		return 0
 	}
-	return time.Duration(c.queue.ahead(r, first) / float64(max(c.Limit(), 1)) * float64(time.Second))
+	return time.Duration(c.queue.costAhead(r, first) / float64(max(c.Limit(), 1)) * float64(time.Second))
 }
 
-// trial reports whether a request that seems too slow is tried all the same.
-func (c *Controller) trial(now time.Duration, r Request) bool {
+// allowTrial reports whether a request that is expected to miss its deadline is
+// admitted as a trial.
+func (c *Controller) allowTrial(now time.Duration, r Request) bool {
 	if !r.Repeatable || now-c.lastTrial < trialInterval || now >= r.Deadline {
 		return false
 	}
@@ -222,42 +228,42 @@
 	return true
 }
 
-// Next returns the request that begins its service now, if there is room.
+// Next returns the next request to start, if the limit permits one.
 func (c *Controller) Next(now time.Duration) (Request, bool) {
 	if len(c.running) >= c.Limit() {
 		return Request{}, false
 	}
 	r, ok := c.queue.Pop()
 	if !ok {
-		c.emptied = now
+		c.lastEmpty = now
 		return Request{}, false
 	}
 	c.shedder.Served(r)
-	c.running[r.ID] = service{request: r, began: now, running: len(c.running) + 1}
+	c.running[r.ID] = runningRequest{request: r, began: now, concurrency: len(c.running) + 1}
 	return r, true
 }
 
-// Unsent takes back a request that Next returned and that did not begin after all.
+// Unsent removes a request that Next returned but that was not started.
 func (c *Controller) Unsent(id RequestID) { delete(c.running, id) }
 
-// Done says that a service ended. cut is set if it was ended early.
-func (c *Controller) Done(now time.Duration, id RequestID, cut bool) {
+// Done records the end of a request's service. aborted is set if it was ended early.
+func (c *Controller) Done(now time.Duration, id RequestID, aborted bool) {
 	s, ok := c.running[id]
 	if !ok {
 		return
 	}
 	delete(c.running, id)
-	c.limiter.Observe(Sample{Class: s.request.Class, Began: s.began, Ended: now, Running: s.running, Cut: cut})
+	c.limiter.Observe(Sample{Class: s.request.Class, Began: s.began, Ended: now, Running: s.concurrency, Aborted: aborted})
 }
 
-// Withdraw takes out a waiting request whose caller has left. It reports
-// whether the request waited.
+// Withdraw removes a waiting request whose caller has cancelled it. It reports
+// whether the request was waiting.
 func (c *Controller) Withdraw(id RequestID) bool { return c.queue.Remove(id) }
 
-// Tick refuses what has waited too long and sets the shed levels.
+// Tick refuses the requests that have waited too long and updates the shed levels.
 func (c *Controller) Tick(now time.Duration) {
 	if c.queue.Len() == 0 {
-		c.emptied = now
+		c.lastEmpty = now
 	} else {
 		c.expire(now)
 	}
@@ -265,14 +271,14 @@
 }
 
 func (c *Controller) expire(now time.Duration) {
-	standing := now-c.emptied > standingAfter
+	standing := now-c.lastEmpty > standingAfter
 	reason := func(r Request) Reason {
 		switch {
 		case now+c.limiter.Estimate(r.Class) > r.Deadline:
 			return ReasonDeadline
 		case r.StartBy > 0 && now >= r.StartBy:
 			return ReasonStartBy
-		case now-r.Arrived > c.waitOf(r, standing):
+		case now-r.Arrived > c.maxWait(r, standing):
 			return ReasonWaited
 		default:
 			return ""
@@ -283,46 +289,47 @@
 	}
 }
 
-// waitOf returns how long a request may wait.
-func (c *Controller) waitOf(r Request, standing bool) time.Duration {
-	if !r.Deep || c.patient {
-		return time.Duration(freshWait * float64(r.Deadline-r.Arrived))
+// maxWait returns how long a request may wait.
+func (c *Controller) maxWait(r Request, standing bool) time.Duration {
+	if !r.Deep || c.deepWaits {
+		return time.Duration(rootWaitFraction * float64(r.Deadline-r.Arrived))
 	}
 	if standing {
-		return waitTarget
+		return deepStandingWait
 	}
-	return burstWait
+	return deepBurstWait
 }
 
 func (c *Controller) refuse(now time.Duration, r Request, reason Reason) {
 	c.refused = append(c.refused, Refused{Request: r, Reason: reason})
 	if reason == ReasonCold {
-		return // that passes by itself, and says nothing of the demand
+		return // temporary, and unrelated to the demand
 	}
 	c.shedder.Shed(r)
 	if !c.Overloaded(now) {
 		c.overloadedSince = now
 	}
-	c.shed = true
+	c.everShed = true
 	c.lastShed = now
 }
 
-// Refused returns what has been refused since the last call.
+// Refused returns the requests that have been refused since the last call.
 func (c *Controller) Refused() []Refused {
 	refused := c.refused
 	c.refused = nil
 	return refused
 }
 
-// Overloaded reports whether a request was refused for want of capacity within
-// the last second.
+// Overloaded reports whether a request was refused for lack of capacity within the
+// last second.
 func (c *Controller) Overloaded(now time.Duration) bool {
-	return c.shed && now-c.lastShed <= overloadMemory
+	return c.everShed && now-c.lastShed <= overloadHold
 }
 
-// ReturnAfter says when refused callers should come back, before spreading.
-// Nobody knows how long an overload will last; what has lasted for a while is
-// likely to last about as long again, so callers stay away for that time.
+// ReturnAfter returns how long refused callers should wait before they retry, without
+// jitter. The duration of an overload cannot be known in advance. An overload that
+// has lasted for a while is likely to last about as long again, so the delay is its
+// present age, between minRetryAfter and maxRetryAfter.
 func (c *Controller) ReturnAfter(now time.Duration) time.Duration {
-	return min(max(firstReturn, now-c.overloadedSince), lastReturn)
+	return min(max(minRetryAfter, now-c.overloadedSince), maxRetryAfter)
 }
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever arrives, ends and leaves: every request is served or refused once,
-// no more run than the limit allows, nothing is served that would end after
-// its deadline for certain, and what was refused has never begun.
+// Checks that, for any arrivals, ends and cancellations, every request is served or
+// refused exactly once, no more requests run than the limit allows, no request waits
+// past its deadline, and refused requests have never started.
 func TestControllerServesOrRefusesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
@@ -29,14 +29,14 @@
 					break
 				}
 				if _, ok := waiting[r.ID]; !ok {
-					t.Fatalf("request %d begins, want one that waits", r.ID)
+					t.Fatalf("request %d started, want a waiting one", r.ID)
 				}
 				delete(waiting, r.ID)
 				running[r.ID] = true
 			}
 			for _, refused := range c.Refused() {
 				if _, ok := waiting[refused.Request.ID]; !ok {
-					t.Fatalf("request %d is refused (%s), want one that waits", refused.Request.ID, refused.Reason)
+					t.Fatalf("request %d is refused (%s), want a waiting one", refused.Request.ID, refused.Reason)
 				}
 				delete(waiting, refused.Request.ID)
 			}
@@ -85,9 +85,10 @@
 	})
 }
 
-// One slot is busy and the queue is full of low priority when a critical
-// request comes. It must not be refused, and the one that matters least goes.
-func TestFullQueueKeepsTheNewcomerThatMatters(t *testing.T) {
+// The only slot is busy and the queue is full of low-priority requests when a
+// critical request arrives. The critical request must be queued, and the least
+// important request refused.
+func TestFullQueueEvictsLeastImportant(t *testing.T) {
 	c := admission.NewController(1)
 	now := time.Hour
 	offer := func(id admission.RequestID, priority int) {
@@ -100,7 +101,7 @@
 	}
 	offer(9, 0)
 	refused := c.Refused()
-	if len(refused) != 1 || refused[0].Request.ID != 6 || refused[0].Reason != admission.ReasonFull {
+	if len(refused) != 1 || refused[0].Request.ID != 6 || refused[0].Reason != admission.ReasonQueueFull {
 		t.Fatalf("got %+v refused, want request 6 because the queue is full", refused)
 	}
 	c.Done(now, 1, false)
@@ -109,10 +110,10 @@
 	}
 }
 
-// A server takes a second where callers wait half of one, and refuses
-// everything by its estimate. Once it is quick again a trial request has to
-// show it: an estimate that nothing corrects would refuse for good.
-func TestEstimateIsTriedOut(t *testing.T) {
+// A server takes one second while callers wait for half a second, so its estimate
+// refuses everything. Once the server is fast again, a trial request must correct the
+// estimate, which would otherwise refuse requests for good.
+func TestTrialRequestCorrectsEstimate(t *testing.T) {
 	c := admission.NewController(1)
 	now := time.Hour
 	offer := func(id admission.RequestID, timeout time.Duration) bool {
@@ -134,13 +135,13 @@
 		}
 	}
 	if began < 100 {
-		t.Errorf("got %d of 200 requests begun, want most once the server is known to be quick", began)
+		t.Errorf("got %d of 200 requests started, want most of them once the estimate is corrected", began)
 	}
 }
 
-// Half of an organisation's requests are refused. Its shed level has to fall
-// to where the served half ends, another organisation's has to stay, and a
-// second after the last refusal everything is let in again.
+// Half of an organisation's requests are refused. Its shed level must fall to the
+// rank up to which requests were served, the level of another organisation must not
+// change, and one second after the last refusal everything must be admitted again.
 func TestShedLevelFallsAndRecovers(t *testing.T) {
 	s := admission.NewShedder()
 	now := time.Hour
@@ -158,7 +159,7 @@
 		s.Tick(now)
 	}
 	if level := s.Level("flood", ""); level == 0 || level > 3<<28 {
-		t.Errorf("got level %#x for the flood, want one within normal priority or below", level)
+		t.Errorf("got level %#x for the flooding organisation, want one within normal priority or below", level)
 	}
 	if level := s.Level("calm", ""); level != 0 {
 		t.Errorf("got level %#x for the calm organisation, want 0", level)
@@ -172,11 +173,11 @@
 	}
 }
 
-// The archive is quick and the quotes behind some of its pages are overloaded.
-// Pages that need a quote fail after the archive has worked for them. Their
-// level has to fall, so that entry nodes refuse them at once; pages of another
-// class must not be touched.
-func TestShedLevelOfAClassFollowsRefusalsBelow(t *testing.T) {
+// The archive service is fast, and the quotes service that some of its pages call is
+// overloaded. Pages that need a quote fail after the archive has worked for them. The
+// level of their class must fall, so that entry nodes refuse them before any work is
+// done. Pages of another class must not be affected.
+func TestClassShedLevelFollowsChildRefusals(t *testing.T) {
 	s := admission.NewShedder()
 	now := time.Hour
 	for i := range 200 {
@@ -187,7 +188,7 @@
 			s.Arrived(now, r)
 			s.Served(r)
 			if class == "GET /quoted" && i%2 == 0 {
-				s.ShedBelow(r)
+				s.ChildShed(r)
 			}
 		}
 		s.Tick(now)
@@ -200,11 +201,11 @@
 	}
 }
 
-// Four requests of 100 ms each wait for the only slot, and a fifth may only
-// start within 200 ms. It would wait in vain and be refused when it is
-// too late to go elsewhere; it has to be told at once. A more important one
-// with the same limit goes first and is served.
-func TestRequestThatWouldStartTooLateIsRefusedAtOnce(t *testing.T) {
+// Four requests of 100 ms each wait for the only slot, and a fifth must start within
+// 200 ms. If it waited, it would be refused when it is too late to go elsewhere, so
+// it must be refused at once. A more important request with the same limit goes first
+// and is served.
+func TestRequestThatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
 	c := admission.NewController(10)
 	now := time.Hour
 	offer := func(id admission.RequestID, priority int, startWithin time.Duration) {
@@ -224,7 +225,7 @@
 	}
 	offer(20, 2, 200*time.Millisecond)
 	if refused := c.Refused(); len(refused) != 1 || refused[0].Reason != admission.ReasonStartBy {
-		t.Errorf("got %+v, want one refusal because it would start too late", refused)
+		t.Errorf("got %+v, want one refusal because the request would start too late", refused)
 	}
 	offer(21, 0, 200*time.Millisecond)
 	if refused := c.Refused(); len(refused) != 0 {
--- a/core/admission/knee.go
+++ b/core/admission/knee.go
@@ -3,158 +3,162 @@
 import "time"
 
 const (
-	// kneePart is the part of its slots up to which a server with a knee runs at
-	// full speed.
-	kneePart = 0.95
-	// kneeLeast is how many slots a server must have. Of fewer, keeping one free
-	// costs more than a knee does.
-	kneeLeast = 8
-	// kneeSamples is how many ends of service a phase takes. The mean of so many
-	// scatters by a twentieth.
+	// kneeFraction is the fraction of its slots up to which a server with a knee runs
+	// at full speed.
+	kneeFraction = 0.95
+	// kneeMinSlots is the minimum number of slots for a lower limit. With fewer
+	// slots, keeping one of them free costs more than a knee does.
+	kneeMinSlots = 8
+	// kneeSamples is the number of completed requests in a phase. The mean of that
+	// many varies by about a twentieth.
 	kneeSamples = 128
-	// nearPart is the part of the lower limit that must run for an end of service
-	// to tell of a server that is nearly full.
-	nearPart = 0.8
-	// kneePatience is how long a search may take. Phases further apart would compare
-	// two different loads.
-	kneePatience = 5 * time.Second
-	// kneeInterval is the time between two searches.
-	kneeInterval = 30 * time.Second
+	// nearLimitFraction is the fraction of the lower limit that must have been in
+	// service for a completed request to count as a sample of a nearly saturated
+	// server.
+	nearLimitFraction = 0.8
+	// kneeSearchTimeout is the maximum duration of a search. Phases further apart
+	// would compare two different loads.
+	kneeSearchTimeout = 5 * time.Second
+	// kneeSearchInterval is the time between two searches.
+	kneeSearchInterval = 30 * time.Second
 )
 
-// knee finds whether a server does more with all of its slots in use or with a few
-// of them left free.
+// knee determines whether a server has a higher throughput with all of its slots in
+// use or with a few of them left free.
 //
-// The load that it is made for: a service is asked for more than it has, and its
-// servers slow down when they are nearly full, by a third, say. With every slot in
-// use such a server does a fifth less than with one in twenty left free, just when
-// all of it is needed. Whether it does is tried out: ends of service are compared
-// from two phases that follow each other, one with the lower limit and one with all
-// slots. Both have the same mix of work, so that a slow service below does not pass
-// for a knee. Until something is known a server is taken to have one, as the
-// mistake costs less that way.
+// The design load is an overloaded service whose servers slow down when they are
+// nearly saturated, for example by a third. With every slot in use, the throughput of
+// such a server is a fifth lower than with one slot in twenty left free, just when
+// all of it is needed. A search compares service times of two consecutive phases, one
+// with the lower limit and one with all slots. Both phases have the same mix of
+// requests, so that a slow called service is not mistaken for a knee. Until the first
+// search has ended, a server is assumed to have a knee, because a mistake costs less
+// in this direction.
 //
-// The zero value is ready.
+// The zero value is ready for use.
 type knee struct {
 	phase kneePhase
-	// full is set while all slots are known to do more.
-	full bool
-	// began is when the present search's first end of service came, next when the
-	// next search may begin.
-	began, next time.Duration
-	searching   bool
-	// changed is when the phase began; what began before it tells nothing.
-	changed time.Duration
-	// seen counts the ends of service of the phase.
-	seen    int
-	classes map[string]*kneeTimes
+	// useAll is set if the last search found a higher throughput with all slots.
+	useAll bool
+	// searchBegan is the time of the first sample of the current search, nextSearch
+	// the earliest start of the next search. searching is set while the current
+	// search has samples.
+	searchBegan, nextSearch time.Duration
+	searching               bool
+	// phaseBegan is the start of the phase. Requests that started earlier are not
+	// counted.
+	phaseBegan time.Duration
+	// samples is the number of completed requests counted in the phase.
+	samples int
+	classes map[string]*kneeStats
 }
 
-// kneePhase is what a knee's search is at.
+// kneePhase is the phase of the search for a knee.
 type kneePhase string
 
 // The phases. The zero value is the first.
 const (
-	kneeBelow  kneePhase = ""
-	kneeBeyond kneePhase = "beyond"
-	kneeKnown  kneePhase = "known"
+	kneeLower   kneePhase = ""
+	kneeFull    kneePhase = "beyond"
+	kneeDecided kneePhase = "known"
 )
 
-// kneeTimes sums up the service times of a class in the two phases.
-type kneeTimes struct {
-	belowCount, belowSum   float64
-	beyondCount, beyondSum float64
+// kneeStats sums up the service times of a class in the two phases.
+type kneeStats struct {
+	lowerCount, lowerSum float64
+	fullCount, fullSum   float64
 }
 
-// limit returns how many requests a server with so many slots is to serve at once.
+// limit returns how many requests a server with the given number of slots should
+// serve at once.
 func (k *knee) limit(slots int) int {
-	if slots < kneeLeast || k.phase == kneeBeyond || k.phase == kneeKnown && k.full {
+	if slots < kneeMinSlots || k.phase == kneeFull || k.phase == kneeDecided && k.useAll {
 		return slots
 	}
 	return lowerLimit(slots)
 }
 
-func lowerLimit(slots int) int { return int(kneePart * float64(slots)) }
+func lowerLimit(slots int) int { return int(kneeFraction * float64(slots)) }
 
-// observe takes in the end of a service.
+// observe processes a completed request.
 func (k *knee) observe(s Sample, slots int) {
-	if slots < kneeLeast || s.Cut {
+	if slots < kneeMinSlots || s.Aborted {
 		return
 	}
-	if k.phase == kneeKnown {
-		if s.Ended >= k.next {
-			k.enter(kneeBelow, s.Ended)
+	if k.phase == kneeDecided {
+		if s.Ended >= k.nextSearch {
+			k.enterPhase(kneeLower, s.Ended)
 		}
 		return
 	}
-	if s.Began < k.changed {
+	if s.Began < k.phaseBegan {
 		return
 	}
 	low := lowerLimit(slots)
-	if s.Running > low != (k.phase == kneeBeyond) || float64(s.Running) < nearPart*float64(low) {
+	if s.Running > low != (k.phase == kneeFull) || float64(s.Running) < nearLimitFraction*float64(low) {
 		return
 	}
 	if !k.searching {
 		k.searching = true
-		k.began = s.Ended
+		k.searchBegan = s.Ended
 	}
 	k.add(s)
 	switch {
-	case s.Ended-k.began > kneePatience:
+	case s.Ended-k.searchBegan > kneeSearchTimeout:
 		k.classes = nil
-		k.enter(kneeBelow, s.Ended)
-	case k.seen < kneeSamples:
-	case k.phase == kneeBelow:
-		k.enter(kneeBeyond, s.Ended)
+		k.enterPhase(kneeLower, s.Ended)
+	case k.samples < kneeSamples:
+	case k.phase == kneeLower:
+		k.enterPhase(kneeFull, s.Ended)
 	default:
 		k.decide(slots)
-		k.enter(kneeKnown, s.Ended)
-		k.next = s.Ended + kneeInterval
+		k.enterPhase(kneeDecided, s.Ended)
+		k.nextSearch = s.Ended + kneeSearchInterval
 	}
 }
 
-func (k *knee) enter(phase kneePhase, now time.Duration) {
+func (k *knee) enterPhase(phase kneePhase, now time.Duration) {
 	k.phase = phase
-	k.changed = now
-	k.seen = 0
-	k.searching = phase == kneeBeyond
+	k.phaseBegan = now
+	k.samples = 0
+	k.searching = phase == kneeFull
 }
 
 func (k *knee) add(s Sample) {
 	if k.classes == nil {
-		k.classes = make(map[string]*kneeTimes)
+		k.classes = make(map[string]*kneeStats)
 	}
 	t, ok := k.classes[s.Class]
 	if !ok {
 		if len(k.classes) >= maximumClasses {
 			return
 		}
-		t = &kneeTimes{}
+		t = &kneeStats{}
 		k.classes[s.Class] = t
 	}
-	k.seen++
+	k.samples++
 	took := (s.Ended - s.Began).Seconds()
-	if k.phase == kneeBeyond {
-		t.beyondCount++
-		t.beyondSum += took
+	if k.phase == kneeFull {
+		t.fullCount++
+		t.fullSum += took
 		return
 	}
-	t.belowCount++
-	t.belowSum += took
+	t.lowerCount++
+	t.lowerSum += took
 }
 
-// decide compares the two phases, class by class. Half of what was seen is kept
-// for the next search.
+// decide compares the two phases class by class. Half of the weight of the samples is
+// kept for the next search.
 func (k *knee) decide(slots int) {
-	weights, slower := 0.0, 0.0
+	weights, slowdown := 0.0, 0.0
 	for _, t := range k.classes {
-		if weight := min(t.belowCount, t.beyondCount); weight > 0 && t.belowSum > 0 {
+		if weight := min(t.lowerCount, t.fullCount); weight > 0 && t.lowerSum > 0 {
 			weights += weight
-			slower += weight * (t.beyondSum / t.beyondCount) / (t.belowSum / t.belowCount)
+			slowdown += weight * (t.fullSum / t.fullCount) / (t.lowerSum / t.lowerCount)
 		}
-		t.belowCount, t.belowSum = t.belowCount/2, t.belowSum/2
-		t.beyondCount, t.beyondSum = t.beyondCount/2, t.beyondSum/2
+		t.lowerCount, t.lowerSum = t.lowerCount/2, t.lowerSum/2
+		t.fullCount, t.fullSum = t.fullCount/2, t.fullSum/2
 	}
-	more := float64(slots) / float64(lowerLimit(slots))
-	k.full = weights > 0 && slower/weights < more
+	capacityRatio := float64(slots) / float64(lowerLimit(slots))
+	k.useAll = weights > 0 && slowdown/weights < capacityRatio
 }
--- a/core/admission/knee_test.go
+++ b/core/admission/knee_test.go
@@ -9,49 +9,49 @@
 	"coltsfootward/core/admission"
 )
 
-// kneeServer is a backend server that is slower while more than a part of its
-// slots is in use.
+// kneeServer is a simulated backend server that slows down by a factor while more
+// than a fraction of its slots is in use.
 type kneeServer struct {
 	slots    int
-	from     float64
-	slowness float64
+	kneeAt   float64
+	slowdown float64
 }
 
-// ending is a request that ends its service.
-type ending struct {
+// completion is a request whose service ends at a given time.
+type completion struct {
 	at time.Duration
 	id admission.RequestID
 }
 
-type endings []ending
+type completions []completion
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e completions) Len() int           { return len(e) }
+func (e completions) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e completions) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completions) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completions) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// play offers the server load times what it has at full speed, in short requests
-// and in long ones, and returns how many per second are served in the second half
-// of the time.
-func (s kneeServer) play(load float64, length time.Duration, seed uint64) float64 {
+// simulate offers the server a multiple of its full-speed throughput, in short and
+// long requests, and returns how many requests per second are served in the second
+// half of the run.
+func (s kneeServer) simulate(load float64, length time.Duration, seed uint64) float64 {
 	source := rand.New(rand.NewPCG(seed, 23))
 	c := admission.NewController(s.slots)
 	c.FixLimit()
 	c.LetDeepWait()
 	works := map[string]time.Duration{"short": 30 * time.Millisecond, "long": 120 * time.Millisecond}
 	gap := float64(50*time.Millisecond) / (load * float64(s.slots))
-	var running endings
+	var running completions
 	classes := make(map[admission.RequestID]string)
 	served, id := 0, admission.RequestID(0)
 	arrival, tick := time.Duration(0), time.Duration(0)
 	for now := time.Duration(0); now < length; {
 		if len(running) > 0 && running[0].at <= arrival {
-			next := heap.Pop(&running).(ending)
+			next := heap.Pop(&running).(completion)
 			now = next.at
 			c.Done(now, next.id, false)
 			if now > length/2 {
@@ -74,20 +74,20 @@
 		}
 		c.Refused()
 		for r, ok := c.Next(now); ok; r, ok = c.Next(now) {
-			took := scattered(source, works[classes[r.ID]])
-			if float64(c.Running()) > s.from*float64(s.slots) {
-				took = time.Duration(float64(took) * s.slowness)
+			took := jittered(source, works[classes[r.ID]])
+			if float64(c.Running()) > s.kneeAt*float64(s.slots) {
+				took = time.Duration(float64(took) * s.slowdown)
 			}
-			heap.Push(&running, ending{at: now + took, id: r.ID})
+			heap.Push(&running, completion{at: now + took, id: r.ID})
 		}
 	}
 	return float64(served) / (length / 2).Seconds()
 }
 
-// A service is asked for 1.5 times what it has for minutes. Its server is a third
-// slower while more than 95 in 100 of its slots are in use, so with all of them in
-// use it serves a fifth less than it could: callers were refused for work that it
-// had room for. A server that has no knee is to have all of its slots used.
+// A service is offered 1.5 times its capacity for a minute. Its server is a third
+// slower while more than 95% of its slots are in use, so with all slots in use it
+// serves a fifth less than it could, and callers are refused for work that it has
+// capacity for. On a server without a knee, all slots must be used.
 func TestServerWithKneeServesMore(t *testing.T) {
 	const perSlot = 1 / 0.05
 	for _, test := range []struct {
@@ -102,7 +102,7 @@
 		{"no knee, 4 slots", kneeServer{4, 2, 1}, 0.95 * 4},
 	} {
 		for seed := range uint64(4) {
-			if got := test.server.play(1.5, 60*time.Second, seed) / perSlot; got < test.least {
+			if got := test.server.simulate(1.5, 60*time.Second, seed) / perSlot; got < test.least {
 				t.Errorf("%s, seed %d: %.1f slots' worth served, want at least %.1f", test.name, seed, got, test.least)
 			}
 		}
--- a/core/admission/limiter.go
+++ b/core/admission/limiter.go
@@ -3,53 +3,56 @@
 import "time"
 
 const (
-	// windowSamples is how many ends of service make one judgement. Fewer would
-	// let the scatter of service times pass for a trend.
+	// windowSamples is the number of completed requests in an evaluation window. With
+	// fewer, the scatter of service times would be mistaken for a trend.
 	windowSamples = 32
-	// calmSamples is how many ends of service are enough to raise a lowered
-	// limit. A whole window may have begun while the server was slow, and would
-	// hold the limit down for a second after that has ended.
-	calmSamples = 8
-	// slowRatio is the latency, in multiples of the floor, above which the limit
-	// is lowered. The floor is the lowest mean of a window, so honest scatter
-	// reaches about 1.5.
+	// fastRaiseSamples is the number of completed requests that suffice to raise a
+	// lowered limit. A full window may have begun while the server was slow, and
+	// would keep the limit low for a second after the server has recovered.
+	fastRaiseSamples = 8
+	// slowRatio is the ratio of latency to baseline above which the limit is lowered.
+	// The baseline is the lowest mean of a window, so normal scatter reaches about
+	// 1.5.
 	slowRatio = 2.0
-	// calmRatio is the latency below which a lowered limit is raised again.
-	calmRatio = 1.5
-	// trialStep is how far the first judgement lowers the limit. It is small,
-	// since a server that is slow for another reason loses that part of its
-	// capacity for the trial. largestStep bounds the steps of one that helped.
-	trialStep   = 0.7
-	largestStep = 0.3
-	// raiseStep is the part by which one judgement raises the limit.
-	raiseStep = 0.5
-	// trialDepth is how far concurrency must have come down before it is asked
-	// whether that helped, trialGain by how much latency must have come down.
-	trialDepth = 0.8
-	trialGain  = 0.85
-	// floorDrift is the part of itself by which a floor rises with each later
-	// window that is above it, so that a server that has become a little slower
-	// for good gets a new floor. A rise in parts of the distance would follow a
-	// server that queues inside within seconds and hide it.
-	floorDrift = 0.001
-	// estimateWeight is the weight of the newest sample in a class's estimate.
+	// normalRatio is the ratio of latency to baseline below which a lowered limit is
+	// raised again.
+	normalRatio = 1.5
+	// firstTrialFactor is the factor by which the first evaluation lowers the limit.
+	// The step is small because a server that is slow for another reason loses this
+	// part of its capacity during the trial. minTrialFactor is the minimum factor of
+	// the steps that follow a successful trial.
+	firstTrialFactor = 0.7
+	minTrialFactor   = 0.3
+	// raiseFraction is the fraction by which one evaluation raises the limit.
+	raiseFraction = 0.5
+	// reducedConcurrency is the factor to which concurrency must have fallen before a
+	// trial is evaluated, and reducedLatency the factor to which latency must have
+	// fallen for the trial to be successful.
+	reducedConcurrency = 0.8
+	reducedLatency     = 0.85
+	// baselineDrift is the fraction by which a baseline rises with each window that
+	// is above it, so that a server that has become slightly slower for good gets a
+	// new baseline. If the baseline rose by a fraction of the difference, it would
+	// follow a server that queues internally within seconds and hide the queueing.
+	baselineDrift = 0.001
+	// estimateWeight is the EWMA weight of the newest sample in the estimate of a
+	// class.
 	estimateWeight = 0.1
-	// maximumClasses bounds the memory for classes; later ones share one.
+	// maximumClasses bounds the memory for classes; further classes share otherClass.
 	maximumClasses = 64
-	// otherClass is what they share.
-	otherClass = "other"
+	otherClass     = "other"
 )
 
-// Limiter finds how many requests a backend server handles at once without
-// slowing down. The announced slots are its ceiling.
+// Limiter finds the number of requests that a backend server handles concurrently
+// without slowing down. The announced slots are its ceiling.
 //
-// It is made for a server that announces more than it has, or that shares its
-// machine: beyond some concurrency the server only queues inside, where no
-// priority and no deadline counts. Latency is compared within a class of
-// requests, so that a mix of long and short work does not pass for slowness.
-// Lowering the limit is a trial: if latency does not fall with concurrency,
-// the server is slow for another reason, and fewer requests at once would only
-// waste its slots, so the limit goes back and the floor moves instead.
+// It is made for servers that announce more slots than they have, or that share their
+// machine: beyond some concurrency such a server only queues requests internally,
+// where neither priorities nor deadlines apply. Latency is compared within a class of
+// requests, so that a mix of long and short requests is not mistaken for slowness.
+// Lowering the limit is a trial. If latency does not fall with concurrency, the
+// server is slow for another reason, and lower concurrency would only waste its
+// slots. The limit is then restored and the baseline raised instead.
 type Limiter struct {
 	// fixed keeps the limit at the ceiling, or just below the server's knee.
 	fixed   bool
@@ -57,25 +60,26 @@
 	slots   int
 	limit   float64
 	classes map[string]*class
-	// changed is when the limit last moved; requests begun before do not count.
-	changed time.Duration
-	// The sums of the present window.
-	samples     int
-	ratios      float64
-	concurrency float64
+	// limitChanged is the time when the limit last changed. Requests that started
+	// earlier are not counted.
+	limitChanged time.Duration
+	// The sums of the current window.
+	samples        int
+	ratioSum       float64
+	concurrencySum float64
 	// The sums of the latest few samples.
-	latest       int
-	latestRatios float64
-	// anchor is the state before the present trial; zero when there is none.
-	anchorRatio, anchorConcurrency, anchorLimit float64
+	latestSamples  int
+	latestRatioSum float64
+	// The state before the current trial; the ratio is zero when there is no trial.
+	priorRatio, priorConcurrency, priorLimit float64
 }
 
-// class is what is known of one class of requests.
+// class holds the latencies, in seconds, of one class of requests.
 type class struct {
-	floor    float64
-	estimate float64
-	samples  int
-	sum      float64
+	baseline   float64
+	estimate   float64
+	samples    int
+	latencySum float64
 }
 
 // NewLimiter returns a limiter that starts at its ceiling.
@@ -83,7 +87,7 @@
 	return &Limiter{slots: slots, limit: float64(slots), classes: make(map[string]*class)}
 }
 
-// SetSlots changes the ceiling. A limit that stood at the old one moves with it.
+// SetSlots changes the ceiling. A limit at the old ceiling moves with it.
 func (l *Limiter) SetSlots(slots int) {
 	if int(l.limit) >= l.slots || l.limit > float64(slots) {
 		l.limit = float64(slots)
@@ -91,7 +95,7 @@
 	l.slots = slots
 }
 
-// Limit returns the present limit: at least 1, unless there are no slots.
+// Limit returns the current limit. It is at least 1 unless there are no slots.
 func (l *Limiter) Limit() int {
 	if l.fixed {
 		return l.knee.limit(l.slots)
@@ -99,8 +103,8 @@
 	return min(max(int(l.limit), 1), l.slots)
 }
 
-// Estimate returns how long a request of a class is expected to take, zero if
-// nothing is known.
+// Estimate returns how long a request of a class is expected to take, or zero without
+// any samples.
 func (l *Limiter) Estimate(name string) time.Duration {
 	return time.Duration(l.class(name).estimate * float64(time.Second))
 }
@@ -117,22 +121,24 @@
 	return c
 }
 
-// Sample is one end of service.
+// Sample is one completed request.
 type Sample struct {
 	Class string
-	// Began and Ended are when the request was in service.
+	// Began and Ended are the times when service began and ended.
 	Began, Ended time.Duration
-	// Running is how many were in service when it began, itself included.
+	// Running is the number of requests in service when this one began, itself
+	// included.
 	Running int
-	// Cut is set if it was ended early, so that it would have taken longer.
-	Cut bool
+	// Aborted is set if service was ended early, so that the request would have taken
+	// longer.
+	Aborted bool
 }
 
-// Observe takes in the end of a service.
+// Observe processes a completed request.
 func (l *Limiter) Observe(s Sample) {
 	c := l.class(s.Class)
 	latency := (s.Ended - s.Began).Seconds()
-	if s.Cut && latency <= c.estimate {
+	if s.Aborted && latency <= c.estimate {
 		return
 	}
 	c.observe(latency)
@@ -140,35 +146,35 @@
 		l.knee.observe(s, l.slots)
 		return
 	}
-	if c.floor == 0 || s.Began < l.changed {
+	if c.baseline == 0 || s.Began < l.limitChanged {
 		return
 	}
-	if s.Cut {
+	if s.Aborted {
 		return
 	}
 	l.samples++
-	l.ratios += latency / c.floor
-	l.concurrency += float64(s.Running)
-	l.latest++
-	l.latestRatios += latency / c.floor
+	l.ratioSum += latency / c.baseline
+	l.concurrencySum += float64(s.Running)
+	l.latestSamples++
+	l.latestRatioSum += latency / c.baseline
 	switch {
 	case l.samples >= windowSamples:
-		l.judge(s.Ended)
-	case l.latest >= calmSamples:
-		l.judgeLatest(s.Ended)
+		l.evaluateWindow(s.Ended)
+	case l.latestSamples >= fastRaiseSamples:
+		l.evaluateLatest(s.Ended)
 	}
 }
 
-// judgeLatest raises a lowered limit as soon as a few ends of service show that
-// the server is quick.
-func (l *Limiter) judgeLatest(now time.Duration) {
-	ratio := l.latestRatios / float64(l.latest)
-	l.latest, l.latestRatios = 0, 0
-	if ratio >= calmRatio || l.limit >= float64(l.slots) {
+// evaluateLatest raises a lowered limit as soon as a few completed requests show that
+// the server is fast.
+func (l *Limiter) evaluateLatest(now time.Duration) {
+	ratio := l.latestRatioSum / float64(l.latestSamples)
+	l.latestSamples, l.latestRatioSum = 0, 0
+	if ratio >= normalRatio || l.limit >= float64(l.slots) {
 		return
 	}
-	l.samples, l.ratios, l.concurrency = 0, 0, 0
-	l.anchorRatio = 0
+	l.samples, l.ratioSum, l.concurrencySum = 0, 0, 0
+	l.priorRatio = 0
 	l.raise(now)
 }
 
@@ -178,62 +184,62 @@
 	}
 	c.estimate += estimateWeight * (latency - c.estimate)
 	c.samples++
-	c.sum += latency
+	c.latencySum += latency
 	if c.samples < windowSamples {
 		return
 	}
-	mean := c.sum / float64(c.samples)
-	c.samples, c.sum = 0, 0
-	if c.floor == 0 || mean < c.floor {
-		c.floor = mean
+	mean := c.latencySum / float64(c.samples)
+	c.samples, c.latencySum = 0, 0
+	if c.baseline == 0 || mean < c.baseline {
+		c.baseline = mean
 		return
 	}
-	c.floor = min(mean, c.floor*(1+floorDrift))
+	c.baseline = min(mean, c.baseline*(1+baselineDrift))
 }
 
-// judge moves the limit by what the window showed.
-func (l *Limiter) judge(now time.Duration) {
-	ratio := l.ratios / float64(l.samples)
-	concurrency := l.concurrency / float64(l.samples)
-	l.samples, l.ratios, l.concurrency = 0, 0, 0
-	l.latest, l.latestRatios = 0, 0
+// evaluateWindow adjusts the limit to the samples of the window.
+func (l *Limiter) evaluateWindow(now time.Duration) {
+	ratio := l.ratioSum / float64(l.samples)
+	concurrency := l.concurrencySum / float64(l.samples)
+	l.samples, l.ratioSum, l.concurrencySum = 0, 0, 0
+	l.latestSamples, l.latestRatioSum = 0, 0
 	switch {
 	case ratio > slowRatio && concurrency > 1:
 		l.lower(now, ratio, concurrency)
-	case ratio < calmRatio:
-		l.anchorRatio = 0
-		if concurrency >= trialDepth*l.limit {
+	case ratio < normalRatio:
+		l.priorRatio = 0
+		if concurrency >= reducedConcurrency*l.limit {
 			l.raise(now)
 		}
 	}
 }
 
-// lower brings the limit down towards what Little's law says the server truly
-// runs at once, or ends a trial that did not help.
+// lower reduces the limit towards the concurrency that the server can sustain
+// according to Little's law, or ends a trial that was not successful.
 func (l *Limiter) lower(now time.Duration, ratio, concurrency float64) {
-	step := trialStep
-	if l.anchorRatio > 0 {
-		if concurrency > trialDepth*l.anchorConcurrency {
+	factor := firstTrialFactor
+	if l.priorRatio > 0 {
+		if concurrency > reducedConcurrency*l.priorConcurrency {
 			return
 		}
-		if ratio > trialGain*l.anchorRatio {
-			l.abandon(now, ratio)
+		if ratio > reducedLatency*l.priorRatio {
+			l.revertTrial(now, ratio)
 			return
 		}
-		step = max(largestStep, calmRatio/ratio)
+		factor = max(minTrialFactor, normalRatio/ratio)
 	}
-	l.anchorRatio, l.anchorConcurrency, l.anchorLimit = ratio, concurrency, l.limit
-	l.limit = max(1, min(l.limit, concurrency*step))
-	l.changed = now
+	l.priorRatio, l.priorConcurrency, l.priorLimit = ratio, concurrency, l.limit
+	l.limit = max(1, min(l.limit, concurrency*factor))
+	l.limitChanged = now
 }
 
-// abandon puts the limit back and takes the present latency for the floor.
-func (l *Limiter) abandon(now time.Duration, ratio float64) {
-	l.limit = l.anchorLimit
-	l.anchorRatio = 0
-	l.changed = now
+// revertTrial restores the limit and makes the current latency the new baseline.
+func (l *Limiter) revertTrial(now time.Duration, ratio float64) {
+	l.limit = l.priorLimit
+	l.priorRatio = 0
+	l.limitChanged = now
 	for _, c := range l.classes {
-		c.floor *= ratio
+		c.baseline *= ratio
 	}
 }
 
@@ -241,6 +247,6 @@
 	if l.limit >= float64(l.slots) {
 		return
 	}
-	l.limit = min(float64(l.slots), l.limit+max(1, raiseStep*l.limit))
-	l.changed = now
+	l.limit = min(float64(l.slots), l.limit+max(1, raiseFraction*l.limit))
+	l.limitChanged = now
 }
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -8,43 +8,45 @@
 	"coltsfootward"
 )
 
-// RequestID names a request within one Controller.
+// RequestID identifies a request within a Controller.
 type RequestID uint64
 
-// Request is what admission needs to know of a request.
+// Request describes a request for admission.
 type Request struct {
 	ID RequestID
-	// Priority is the rank of the request's priority, 0 the most important.
+	// Priority is the rank of the request's priority; 0 is the most important.
 	Priority int
 	// ShedRank orders requests of all priorities; lower is more important.
 	ShedRank uint32
-	// Deep is set for requests that another request in service waits for.
+	// Deep is set for child calls, which another request in service waits for.
+	// Requests without it are root requests.
 	Deep         bool
 	Organisation coltsfootward.OrganisationName
-	// Weight is the organisation's share against others; zero means 1.
+	// Weight is the organisation's weight relative to others; zero means 1.
 	Weight float64
 	// Class groups requests that take about equally long.
 	Class string
-	// Arrived is when the request came, Deadline when its caller stops waiting.
+	// Arrived is the arrival time of the request; Deadline is when its caller stops
+	// waiting.
 	Arrived, Deadline time.Duration
-	// StartBy is when what entitles the request to start ends; zero means that
-	// it does not.
+	// StartBy is the time when the request's permission to start expires; zero means
+	// never.
 	StartBy time.Duration
-	// Repeatable requests may be spent on trying out a server that seems too slow.
+	// Repeatable requests may be used as trials on a server that seems too slow.
 	Repeatable bool
 
-	// cost is the slot time that the request is expected to take, in seconds.
+	// cost is the slot time, in seconds, that the request is expected to take.
 	cost float64
 }
 
-// priorityCount is the number of priority ranks: four priorities, each of them
-// in four ranks of a second one.
+// priorityCount is the number of priority ranks: four priorities with four second
+// priorities each.
 const priorityCount = 16
 
-// Queue holds waiting requests. Requests of higher priority leave first;
-// within a priority deep ones leave before fresh ones, since slots elsewhere
-// are held for them; within these the organisations take turns in proportion
-// to their weights, measured in slot time. The zero value is ready. It is not
+// Queue holds waiting requests. Requests of higher priority leave first. Within a
+// priority, deep requests leave before root requests, because slots at other services
+// are held for them. Within these, the organisations are served in proportion to
+// their weights, measured in slot time. The zero value is ready for use. Queue is not
 // safe for concurrent use.
 type Queue struct {
 	lanes [2 * priorityCount]lane
@@ -53,23 +55,23 @@
 
 // lane is the part of the queue for one priority and depth.
 //
-// Turns are taken by start-time fair queueing: each organisation has a virtual
-// time that advances by cost over weight with every request served, and the
-// lowest is served next. An organisation that comes late starts at the lane's
-// time, so it cannot save up turns while it is idle.
+// It uses start-time fair queueing. Each organisation's flow has a virtual time,
+// which advances by cost divided by weight with every request served, and the flow
+// with the lowest virtual time is served next. A new flow starts at the virtual time
+// of the lane, so an organisation gains no credit while it is idle.
 type lane struct {
-	turns   []*turn
-	virtual float64
-	// past holds the virtual times of organisations with nothing waiting that
-	// are still ahead of the lane's.
-	past map[coltsfootward.OrganisationName]float64
+	flows       []*flow
+	virtualTime float64
+	// idle holds the virtual times of organisations without waiting requests, as they
+	// may be ahead of the lane's virtual time.
+	idle map[coltsfootward.OrganisationName]float64
 }
 
-// turn is an organisation's requests in a lane, most important first.
-type turn struct {
+// flow holds an organisation's requests in a lane, most important first.
+type flow struct {
 	organisation coltsfootward.OrganisationName
 	weight       float64
-	virtual      float64
+	virtualTime  float64
 	cost         float64
 	waiting      []Request
 }
@@ -80,7 +82,7 @@
 // Push adds a request.
 func (q *Queue) Push(r Request) {
 	l := &q.lanes[laneOf(r)]
-	t := l.turnOf(r)
+	t := l.flowOf(r)
 	i, _ := slices.BinarySearchFunc(t.waiting, r, compareRank)
 	t.waiting = slices.Insert(t.waiting, i, r)
 	t.cost += r.slotTime()
@@ -95,9 +97,9 @@
 	return index
 }
 
-// compareRank orders the requests of one organisation and priority by shed
-// rank, not by age: every depth of a call chain then serves the same requests
-// first, and what a chain has begun it also finishes.
+// compareRank orders the requests of one organisation and priority by shed rank and
+// not by age: all services of a call chain then serve the same requests first, and
+// requests that the chain has started are also completed.
 func compareRank(a, b Request) int {
 	if c := cmp.Compare(a.ShedRank, b.ShedRank); c != 0 {
 		return c
@@ -107,21 +109,21 @@
 
 func (r Request) slotTime() float64 { return max(r.cost, minimumCost) }
 
-// minimumCost keeps turns apart before anything is known of service times.
+// minimumCost, in seconds, keeps shares fair while service times are unknown.
 const minimumCost = 0.001
 
-func (l *lane) turnOf(r Request) *turn {
-	for _, t := range l.turns {
+func (l *lane) flowOf(r Request) *flow {
+	for _, t := range l.flows {
 		if t.organisation == r.Organisation {
 			return t
 		}
 	}
-	t := &turn{organisation: r.Organisation, weight: r.Weight, virtual: max(l.virtual, l.past[r.Organisation])}
-	delete(l.past, r.Organisation)
+	t := &flow{organisation: r.Organisation, weight: r.Weight, virtualTime: max(l.virtualTime, l.idle[r.Organisation])}
+	delete(l.idle, r.Organisation)
 	if t.weight <= 0 {
 		t.weight = 1
 	}
-	l.turns = append(l.turns, t)
+	l.flows = append(l.flows, t)
 	return t
 }
 
@@ -129,7 +131,7 @@
 func (q *Queue) Pop() (Request, bool) {
 	for i := range q.lanes {
 		l := &q.lanes[i]
-		if len(l.turns) == 0 {
+		if len(l.flows) == 0 {
 			continue
 		}
 		return q.serve(l), true
@@ -138,52 +140,53 @@
 }
 
 func (q *Queue) serve(l *lane) Request {
-	next := slices.MinFunc(l.turns, func(a, b *turn) int {
-		return cmp.Or(cmp.Compare(a.virtual, b.virtual), cmp.Compare(a.organisation, b.organisation))
+	next := slices.MinFunc(l.flows, func(a, b *flow) int {
+		return cmp.Or(cmp.Compare(a.virtualTime, b.virtualTime), cmp.Compare(a.organisation, b.organisation))
 	})
 	r := next.waiting[0]
-	l.virtual = next.virtual
-	next.virtual += r.slotTime() / next.weight
+	l.virtualTime = next.virtualTime
+	next.virtualTime += r.slotTime() / next.weight
 	q.remove(l, next, 0)
 	return r
 }
 
-func (q *Queue) remove(l *lane, t *turn, i int) {
+func (q *Queue) remove(l *lane, t *flow, i int) {
 	t.cost -= t.waiting[i].slotTime()
 	t.waiting = slices.Delete(t.waiting, i, i+1)
 	q.size--
 	if len(t.waiting) == 0 {
-		l.retire(t)
+		l.removeFlow(t)
 	}
 }
 
-// retire forgets an organisation with nothing left, but for how far its turns
-// went: it would otherwise get a fresh start with every request that it sends
-// one by one. Once nobody waits there is no contention and all start alike.
-func (l *lane) retire(t *turn) {
-	l.turns = slices.DeleteFunc(l.turns, func(other *turn) bool { return other == t })
-	if len(l.turns) == 0 {
-		l.virtual = 0
-		clear(l.past)
+// removeFlow removes the flow of an organisation without waiting requests, but keeps
+// its virtual time. Otherwise an organisation that sends its requests one by one
+// would restart at the lane's virtual time with each of them. An empty lane has no
+// contention, so all flows start alike.
+func (l *lane) removeFlow(t *flow) {
+	l.flows = slices.DeleteFunc(l.flows, func(other *flow) bool { return other == t })
+	if len(l.flows) == 0 {
+		l.virtualTime = 0
+		clear(l.idle)
 		return
 	}
-	if l.past == nil {
-		l.past = make(map[coltsfootward.OrganisationName]float64)
+	if l.idle == nil {
+		l.idle = make(map[coltsfootward.OrganisationName]float64)
 	}
-	l.past[t.organisation] = t.virtual
+	l.idle[t.organisation] = t.virtualTime
 }
 
-// Evict removes and returns the request that matters least: the lowest
-// priority that waits, fresh before deep, there the organisation with the most
-// waiting work for its weight, and of its requests the one with the highest
+// Evict removes and returns the least important request: of the lowest waiting
+// priority, with root requests before deep requests, there of the organisation with
+// the most waiting work for its weight, and of its requests the one with the highest
 // shed rank.
 func (q *Queue) Evict() (Request, bool) {
 	for i := len(q.lanes) - 1; i >= 0; i-- {
 		l := &q.lanes[i]
-		if len(l.turns) == 0 {
+		if len(l.flows) == 0 {
 			continue
 		}
-		heaviest := slices.MaxFunc(l.turns, func(a, b *turn) int {
+		heaviest := slices.MaxFunc(l.flows, func(a, b *flow) int {
 			return cmp.Or(cmp.Compare(a.cost/a.weight, b.cost/b.weight), cmp.Compare(a.organisation, b.organisation))
 		})
 		last := len(heaviest.waiting) - 1
@@ -194,25 +197,26 @@
 	return Request{}, false
 }
 
-// Remove takes the request of that number out and reports whether it waited.
+// Remove removes a request and reports whether it was waiting.
 func (q *Queue) Remove(id RequestID) bool {
 	removed := q.RemoveFunc(func(r Request) bool { return r.ID == id })
 	return len(removed) > 0
 }
 
-// RemoveFunc takes out every request that drop accepts, most important first.
+// RemoveFunc removes and returns all requests for which drop returns true, most
+// important first.
 func (q *Queue) RemoveFunc(drop func(Request) bool) []Request {
 	var removed []Request
 	for i := range q.lanes {
 		l := &q.lanes[i]
-		for _, t := range slices.Clone(l.turns) {
+		for _, t := range slices.Clone(l.flows) {
 			removed = append(removed, q.removeFrom(l, t, drop)...)
 		}
 	}
 	return removed
 }
 
-func (q *Queue) removeFrom(l *lane, t *turn, drop func(Request) bool) []Request {
+func (q *Queue) removeFrom(l *lane, t *flow, drop func(Request) bool) []Request {
 	var removed []Request
 	for i := 0; i < len(t.waiting); {
 		if !drop(t.waiting[i]) {
@@ -225,24 +229,25 @@
 	return removed
 }
 
-// cost returns the expected slot time of all waiting requests, in seconds.
-func (q *Queue) cost() float64 { return q.costOf(len(q.lanes)) }
+// totalCost returns the expected slot time, in seconds, of all waiting requests.
+func (q *Queue) totalCost() float64 { return q.costOfLanes(len(q.lanes)) }
 
-// ahead returns the expected slot time of everything that leaves before r, which may
-// be the first of its lane.
-func (q *Queue) ahead(r Request, first bool) float64 {
+// costAhead returns the expected slot time, in seconds, of the requests that leave
+// before r. first is set if r goes ahead of all others in its lane.
+func (q *Queue) costAhead(r Request, first bool) float64 {
 	lanes := laneOf(r) + 1
 	if first {
 		lanes--
 	}
-	return q.costOf(lanes)
+	return q.costOfLanes(lanes)
 }
 
-// costOf returns the expected slot time of what waits in so many of the first lanes.
-func (q *Queue) costOf(lanes int) float64 {
+// costOfLanes returns the expected slot time, in seconds, of the requests in the
+// given number of leading lanes.
+func (q *Queue) costOfLanes(lanes int) float64 {
 	total := 0.0
 	for i := range lanes {
-		for _, t := range q.lanes[i].turns {
+		for _, t := range q.lanes[i].flows {
 			total += t.cost
 		}
 	}
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -12,53 +12,53 @@
 	"pgregory.net/rapid"
 )
 
-// list is the naive queue: it keeps everything in one list and sorts.
-type list []admission.Request
+// naiveQueue is a reference implementation: a list that is searched and sorted.
+type naiveQueue []admission.Request
 
-func (l list) best() int {
+func (l naiveQueue) mostImportantLane() int {
 	lowest := 0
 	for i, r := range l {
-		if class(r) < class(l[lowest]) {
+		if laneOf(r) < laneOf(l[lowest]) {
 			lowest = i
 		}
 	}
-	return class(l[lowest])
+	return laneOf(l[lowest])
 }
 
-func (l list) worst() int {
+func (l naiveQueue) leastImportantLane() int {
 	highest := 0
 	for _, r := range l {
-		highest = max(highest, class(r))
+		highest = max(highest, laneOf(r))
 	}
 	return highest
 }
 
-func class(r admission.Request) int {
+func laneOf(r admission.Request) int {
 	if r.Deep {
 		return 2 * r.Priority
 	}
 	return 2*r.Priority + 1
 }
 
-// of returns the requests of one organisation and class, most important first.
-func (l list) of(organisation coltsfootward.OrganisationName, kind int) []admission.RequestID {
-	var found list
+// ranked returns the requests of one organisation and lane, most important first.
+func (l naiveQueue) ranked(organisation coltsfootward.OrganisationName, lane int) []admission.RequestID {
+	var matching naiveQueue
 	for _, r := range l {
-		if r.Organisation == organisation && class(r) == kind {
-			found = append(found, r)
+		if r.Organisation == organisation && laneOf(r) == lane {
+			matching = append(matching, r)
 		}
 	}
-	slices.SortFunc(found, func(a, b admission.Request) int {
+	slices.SortFunc(matching, func(a, b admission.Request) int {
 		return cmp.Or(cmp.Compare(a.ShedRank, b.ShedRank), cmp.Compare(a.ID, b.ID))
 	})
 	var ids []admission.RequestID
-	for _, r := range found {
+	for _, r := range matching {
 		ids = append(ids, r.ID)
 	}
 	return ids
 }
 
-func (l *list) remove(id admission.RequestID) bool {
+func (l *naiveQueue) remove(id admission.RequestID) bool {
 	before := len(*l)
 	*l = slices.DeleteFunc(*l, func(r admission.Request) bool { return r.ID == id })
 	return len(*l) < before
@@ -75,14 +75,14 @@
 	}
 }
 
-// Whatever is pushed, popped, evicted and removed in whatever order: the queue
-// holds what a sorted list holds, what leaves to be served is never of a lower
-// class than something that waits, what is evicted never of a higher one, and
-// within an organisation they leave by rank.
-func TestQueueAgainstList(t *testing.T) {
+// Compares the queue with a naive implementation for any sequence of operations. Both
+// must hold the same requests. A popped request must not be of a less important lane
+// than a waiting one, an evicted request not of a more important lane, and the
+// requests of an organisation must leave in the order of their rank.
+func TestQueueMatchesNaiveQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue admission.Queue
-		var naive list
+		var naive naiveQueue
 		next := admission.RequestID(1)
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
@@ -99,10 +99,10 @@
 				if !ok {
 					return
 				}
-				if got, want := class(r), naive.best(); got != want {
-					t.Fatalf("popped class %d, want %d", got, want)
+				if got, want := laneOf(r), naive.mostImportantLane(); got != want {
+					t.Fatalf("popped from lane %d, want %d", got, want)
 				}
-				if want := naive.of(r.Organisation, class(r))[0]; r.ID != want {
+				if want := naive.ranked(r.Organisation, laneOf(r))[0]; r.ID != want {
 					t.Fatalf("popped %d, want %d of its organisation", r.ID, want)
 				}
 				naive.remove(r.ID)
@@ -112,10 +112,10 @@
 				if !ok {
 					return
 				}
-				if got, want := class(r), naive.worst(); got != want {
-					t.Fatalf("evicted class %d, want %d", got, want)
+				if got, want := laneOf(r), naive.leastImportantLane(); got != want {
+					t.Fatalf("evicted from lane %d, want %d", got, want)
 				}
-				if ids := naive.of(r.Organisation, class(r)); r.ID != ids[len(ids)-1] {
+				if ids := naive.ranked(r.Organisation, laneOf(r)); r.ID != ids[len(ids)-1] {
 					t.Fatalf("evicted %d, want %d of its organisation", r.ID, ids[len(ids)-1])
 				}
 				naive.remove(r.ID)
@@ -135,18 +135,18 @@
 	})
 }
 
-// An organisation floods, others send now and then. Each of the others must be
-// served within its turn however many the first one has waiting: as long as
-// all have something waiting, what two of them were served differs by no more
-// than one request for their weights.
-func TestQueueTurnsAreFair(t *testing.T) {
+// One organisation floods the queue while others send a few requests. However many
+// requests the first one has waiting, the others must be served according to their
+// weights: while all of them have requests waiting, the numbers served of any two,
+// divided by their weights, differ by at most one request each.
+func TestQueueSharesServiceByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 4), 2, 5).Draw(t, "weights")
 		var queue admission.Queue
 		id := admission.RequestID(0)
 		push := func(o int) {
 			id++
-			queue.Push(admission.Request{ID: id, Organisation: name(o), Weight: float64(weights[o]), Class: fmt.Sprint(o)})
+			queue.Push(admission.Request{ID: id, Organisation: organisationName(o), Weight: float64(weights[o]), Class: fmt.Sprint(o)})
 		}
 		for o := range weights {
 			for range rapid.IntRange(1, 30).Draw(t, "backlog") {
@@ -164,13 +164,13 @@
 			for j := range weights {
 				gap := float64(served[i])/float64(weights[i]) - float64(served[j])/float64(weights[j])
 				if limit := 1/float64(weights[i]) + 1/float64(weights[j]); gap > limit+1e-6 {
-					t.Fatalf("got %v served for weights %v, want turns to differ by at most one", served, weights)
+					t.Fatalf("got %v served for weights %v, want the service per weight to differ by at most one request", served, weights)
 				}
 			}
 		}
 	})
 }
 
-func name(o int) coltsfootward.OrganisationName {
+func organisationName(o int) coltsfootward.OrganisationName {
 	return coltsfootward.OrganisationName(fmt.Sprint("organisation-", o))
 }
