--- a/change.go
+++ b/change.go
@@ -8,20 +8,20 @@
 // Change is one accepted change of the configuration. Exactly one of
 // Organisation, Key and Service is set.
 type Change struct {
-	// ID is chosen by the operator's client, so that a change whose answer was
-	// lost can be sent again without being applied twice.
+	// ID is chosen by the operator's client. A client that received no response
+	// sends the change again under the same ID, and it is applied only once.
 	ID string `msgpack:"id" json:"id"`
-	// Revision is the revision that the change made.
+	// Revision is the revision of the configuration that results from the change.
 	Revision     Revision      `msgpack:"revision" json:"revision"`
 	Organisation *Organisation `msgpack:"organisation,omitempty" json:"organisation,omitempty"`
 	Key          *Key          `msgpack:"key,omitempty" json:"key,omitempty"`
 	Service      *Service      `msgpack:"service,omitempty" json:"service,omitempty"`
 }
 
-// Apply returns c with the changes in it, in order. A change at or below c's
-// revision is already in it and is passed over; an object that is newer than the
-// change stays as it is. The cost is that of one copy of
-// the tables that change, however many changes there are.
+// Apply returns a copy of c with the changes applied in order. A change whose
+// revision is not above c's is already part of c and is skipped. An object that is
+// newer than the change stays as it is. Each table that changes is copied once,
+// however many changes there are.
 func (c Configuration) Apply(changes ...Change) Configuration {
 	b := builder{base: c}
 	for _, change := range changes {
@@ -32,7 +32,8 @@
 	return b.base
 }
 
-// builder applies changes to one copy of a configuration.
+// builder applies changes to one copy of a configuration. The flags are set for
+// the tables that have been copied already.
 type builder struct {
 	base                          Configuration
 	organisations, keys, services bool
@@ -43,7 +44,7 @@
 		o := *change.Organisation
 		o.Revision = change.Revision
 		if b.base.organisations[o.Name].Revision < o.Revision {
-			b.base.organisations = own(b.base.organisations, &b.organisations)
+			b.base.organisations = ensureOwned(b.base.organisations, &b.organisations)
 			b.base.organisations[o.Name] = o
 		}
 	}
@@ -51,7 +52,7 @@
 		k := *change.Key
 		k.Revision = change.Revision
 		if b.base.keys[k.Digest].Revision < k.Revision {
-			b.base.keys = own(b.base.keys, &b.keys)
+			b.base.keys = ensureOwned(b.base.keys, &b.keys)
 			b.base.keys[k.Digest] = keepWithdrawn(b.base.keys, k)
 		}
 	}
@@ -60,15 +61,16 @@
 		s.Revision = change.Revision
 		s.Marks = slices.Clone(s.Marks)
 		if b.base.services[s.Name].Revision < s.Revision {
-			b.base.services = own(b.base.services, &b.services)
+			b.base.services = ensureOwned(b.base.services, &b.services)
 			b.base.services[s.Name] = s
 		}
 	}
 	b.base.revision = change.Revision
 }
 
-// own returns a copy of entries unless they are a copy already.
-func own[K comparable, V any](entries map[K]V, owned *bool) map[K]V {
+// ensureOwned returns a copy of entries and sets owned. If owned is set already, it
+// returns entries itself.
+func ensureOwned[K comparable, V any](entries map[K]V, owned *bool) map[K]V {
 	if *owned {
 		return entries
 	}
--- a/change_test.go
+++ b/change_test.go
@@ -6,10 +6,10 @@
 	"coltsfootward"
 )
 
-// A node reads all objects while operators change them, and then applies the
-// changes since it began. One of them is older than what it read of the object;
-// applied, it would bring an earlier rate back.
-func TestApplyLeavesNewerObjectAlone(t *testing.T) {
+// Guards against a change that reverts an object to an earlier rate. A node reads
+// all objects while operators change them, and then applies the changes made
+// since the read began. A change can be older than the object that was read.
+func TestApplyKeepsNewerObject(t *testing.T) {
 	newer := coltsfootward.Organisation{Name: "traders", Rate: coltsfootward.Rate{PerSecond: 7}, Revision: 7}
 	read := coltsfootward.Configuration{}.WithOrganisation(newer).WithRevision(4)
 	older := coltsfootward.Change{Revision: 5, Organisation: &coltsfootward.Organisation{Name: "traders", Rate: coltsfootward.Rate{PerSecond: 5}}}
--- a/configuration.go
+++ b/configuration.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// KeyDigest is the SHA-256 digest of a caller's key, in hexadecimal. Keys
-// themselves are never stored and never leave the node that a caller reached.
+// KeyDigest is the SHA-256 digest of a caller's key, in hexadecimal. The keys
+// themselves are never stored and are never sent to other nodes.
 type KeyDigest string
 
 // DigestKey returns the digest under which key is stored and compared.
@@ -19,8 +19,8 @@
 	return KeyDigest(hex.EncodeToString(sum[:]))
 }
 
-// Rate bounds an organisation's requests over all instances together: over
-// every window of length w at most Burst + PerSecond·w requests start.
+// Rate limits an organisation's requests over all instances together: in every
+// window of w seconds at most Burst + PerSecond·w requests start.
 type Rate struct {
 	// PerSecond is the sustained rate in requests per second.
 	PerSecond float64 `msgpack:"per_second" json:"per_second"`
@@ -28,20 +28,20 @@
 	Burst int64 `msgpack:"burst" json:"burst"`
 }
 
-// Organisation is a tenant and its share.
+// Organisation is a tenant and its rate limit.
 type Organisation struct {
 	Name OrganisationName `msgpack:"name" json:"name"`
 	Rate Rate             `msgpack:"rate" json:"rate"`
-	// Unlimited is set if Rate does not bound the organisation.
+	// Unlimited is set if Rate does not apply to the organisation.
 	Unlimited bool `msgpack:"unlimited,omitempty" json:"unlimited,omitempty"`
-	// Priority goes before the route's; empty means the route's.
+	// Priority overrides the route's priority unless it is empty.
 	Priority Priority `msgpack:"priority,omitempty" json:"priority,omitempty"`
 	Revision Revision `msgpack:"revision" json:"revision"`
 }
 
-// Key is a caller's credential, known only by its digest.
+// Key is the record of a caller's credential. It holds only the credential's digest.
 type Key struct {
-	// ID is the name operators use for the key; it is no secret.
+	// ID is the name that operators use for the key. It is not secret.
 	ID           string           `msgpack:"id" json:"id"`
 	Digest       KeyDigest        `msgpack:"digest" json:"digest"`
 	Organisation OrganisationName `msgpack:"organisation" json:"organisation"`
@@ -50,55 +50,57 @@
 	Revision  Revision `msgpack:"revision" json:"revision"`
 }
 
-// Mark says how the requests that it matches are treated. An empty Method
-// matches every method; the longest PathPrefix that matches wins.
+// Mark sets the priority of the requests that it matches, and whether they may be
+// retried. An empty Method matches every method. Of several marks that match, the
+// one with the longest PathPrefix applies.
 type Mark struct {
 	Method     string   `msgpack:"method" json:"method"`
 	PathPrefix string   `msgpack:"path_prefix" json:"path_prefix"`
 	Priority   Priority `msgpack:"priority" json:"priority"`
-	// Unrepeatable requests run at most once.
+	// Unrepeatable means that a request must run at most once and is not retried
+	// once it may have run.
 	Unrepeatable bool `msgpack:"unrepeatable" json:"unrepeatable"`
 }
 
-// Service is a service of the call graph. A service exists once operators
-// created it; backend servers that announce an unknown one get no work.
+// Service is a service of the call graph. Operators create services; backend
+// servers that announce a service which does not exist receive no requests.
 type Service struct {
 	Name  ServiceName `msgpack:"name" json:"name"`
 	Marks []Mark      `msgpack:"marks" json:"marks"`
-	// Attempts bounds the attempts of one request over the whole chain that
+	// Attempts limits the attempts of one request over the whole call chain that
 	// starts at this service. Zero means the node's setting.
 	Attempts int `msgpack:"attempts" json:"attempts"`
-	// Timeout bounds a request that brings no timeout of its own. Zero means
+	// Timeout applies to requests that carry no timeout of their own. Zero means
 	// the node's setting.
 	Timeout time.Duration `msgpack:"timeout" json:"timeout"`
-	// HealthPath is where each of its backend servers tells how it is, and
-	// Connections how many connections each accepts; they are set in hosted
-	// deployments.
+	// HealthPath is the path of the health check of the service's backend
+	// servers. Connections is the number of connections that each of them accepts.
+	// Both are set in hosted deployments.
 	HealthPath  string `msgpack:"health_path,omitempty" json:"health_path,omitempty"`
 	Connections int    `msgpack:"connections,omitempty" json:"connections,omitempty"`
-	// ColdRate is how many requests a second each of its backend servers bears
-	// while it is cold, and ColdTime how long one is so after its start. A rate
-	// of zero means that they bear all from the start.
+	// ColdRate is the number of requests per second that each backend server of
+	// the service can handle while it is cold. ColdTime is how long a backend
+	// server is cold after its start. A ColdRate of zero means that the backend
+	// servers have their full capacity from the start.
 	ColdRate float64       `msgpack:"cold_rate,omitempty" json:"cold_rate,omitempty"`
 	ColdTime time.Duration `msgpack:"cold_time,omitempty" json:"cold_time,omitempty"`
 	Revision Revision      `msgpack:"revision" json:"revision"`
 }
 
-// MarkFor returns the mark for a request. Without a matching one the request
-// has normal priority and is repeatable only if its method is idempotent by
-// RFC 9110.
+// MarkFor returns the mark for a request. If no mark matches, the request has
+// normal priority and is unrepeatable unless its method is idempotent by RFC 9110.
 func (s Service) MarkFor(method, path string) Mark {
 	best := Mark{Method: method, Priority: PriorityNormal, Unrepeatable: !isIdempotentMethod(method)}
-	length := -1
+	bestLength := -1
 	for _, m := range s.Marks {
 		if m.Method != "" && m.Method != method {
 			continue
 		}
-		if !strings.HasPrefix(path, m.PathPrefix) || len(m.PathPrefix) <= length {
+		if !strings.HasPrefix(path, m.PathPrefix) || len(m.PathPrefix) <= bestLength {
 			continue
 		}
 		best = m
-		length = len(m.PathPrefix)
+		bestLength = len(m.PathPrefix)
 	}
 	return best
 }
@@ -112,9 +114,9 @@
 	}
 }
 
-// Configuration is what operators have set, at one revision. It is immutable:
-// the With methods return changed copies. The zero value is the empty
-// configuration. It is safe for concurrent use.
+// Configuration is the configuration that operators have set, at one revision. It
+// is immutable: Apply and the With methods return changed copies. The zero value is
+// the empty configuration. It is safe for concurrent use.
 type Configuration struct {
 	revision      Revision
 	organisations map[OrganisationName]Organisation
@@ -125,7 +127,8 @@
 	limits        Limits
 }
 
-// NewConfiguration returns a configuration that holds these objects at revision r.
+// NewConfiguration returns a configuration that consists of the given objects, at
+// revision r.
 func NewConfiguration(r Revision, organisations []Organisation, keys []Key, services []Service) Configuration {
 	c := Configuration{
 		revision:      r,
@@ -146,7 +149,7 @@
 	return c
 }
 
-// Revision returns the revision of the last change that the configuration holds.
+// Revision returns the revision of the last change that has been applied.
 func (c Configuration) Revision() Revision {
 	return c.revision
 }
@@ -190,20 +193,22 @@
 	return c
 }
 
-// WithOrganisation returns a copy that holds o in place of any organisation of that name.
+// WithOrganisation returns a copy in which o replaces any organisation of the same
+// name.
 func (c Configuration) WithOrganisation(o Organisation) Configuration {
 	c.organisations = withEntry(c.organisations, o.Name, o)
 	return c
 }
 
-// WithKey returns a copy that holds k in place of any key with that digest. A
-// withdrawn key stays withdrawn whatever k says.
+// WithKey returns a copy in which k replaces any key with the same digest. A
+// withdrawn key stays withdrawn even if k.Withdrawn is false.
 func (c Configuration) WithKey(k Key) Configuration {
 	c.keys = withEntry(c.keys, k.Digest, keepWithdrawn(c.keys, k))
 	return c
 }
 
-// keepWithdrawn returns k, withdrawn if the key with its digest was.
+// keepWithdrawn returns k, marked as withdrawn if the present key with the same
+// digest is withdrawn.
 func keepWithdrawn(keys map[KeyDigest]Key, k Key) Key {
 	if old, ok := keys[k.Digest]; ok && old.Withdrawn {
 		k.Withdrawn = true
@@ -211,7 +216,7 @@
 	return k
 }
 
-// WithService returns a copy that holds s in place of any service of that name.
+// WithService returns a copy in which s replaces any service of the same name.
 func (c Configuration) WithService(s Service) Configuration {
 	s.Marks = slices.Clone(s.Marks)
 	c.services = withEntry(c.services, s.Name, s)
--- a/configuration_test.go
+++ b/configuration_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// A caller with a withdrawn key is served again. An operator's change of the
-// key's record, based on what it was before the withdrawal, arrives late and
-// clears the mark.
+// Guards against a withdrawn key that is accepted again. An operator's change of the
+// key's record that is based on a state before the withdrawal arrives late and would
+// clear the Withdrawn flag.
 func TestWithdrawnKeyStaysWithdrawn(t *testing.T) {
 	key := coltsfootward.Key{ID: "k", Digest: coltsfootward.DigestKey("secret"), Organisation: "traders"}
 	withdrawn := key
@@ -55,8 +55,8 @@
 	}
 }
 
-// Operators see a rate come back that they had changed. A node hears of an
-// older revision after a newer one, from a peer that was cut off.
+// Guards against a rate that reverts to an earlier value. A peer that was partitioned
+// from the others sends a node an older revision after a newer one.
 func TestApplyNeverReverts(t *testing.T) {
 	slow := coltsfootward.Organisation{Name: "traders", Rate: coltsfootward.Rate{PerSecond: 1, Burst: 1}}
 	fast := coltsfootward.Organisation{Name: "traders", Rate: coltsfootward.Rate{PerSecond: 9, Burst: 9}}
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestWithLeavesTheOriginalAlone(t *testing.T) {
+func TestWithDoesNotChangeOriginal(t *testing.T) {
 	before := coltsfootward.Configuration{}.WithOrganisation(coltsfootward.Organisation{Name: "traders"})
 	before.WithOrganisation(coltsfootward.Organisation{Name: "ministry"})
 	if got := len(before.Organisations()); got != 1 {
--- a/doc.go
+++ b/doc.go
@@ -1,6 +1,7 @@
-// Package coltsfootward holds the vocabulary of the overload control layer:
-// identifiers, immutable values and the narrow interfaces that its parts meet at.
+// Package coltsfootward defines the types that all packages of the overload
+// control layer share: identifiers, immutable values and small interfaces.
 //
-// It decides nothing and performs no input or output. Decisions live in
-// coltsfootward/core, the programs' network faces in coltsfootward/io.
+// It contains no control logic and performs no input or output. The state
+// machines are in coltsfootward/core, network and file access in
+// coltsfootward/io.
 package coltsfootward
--- a/domain.go
+++ b/domain.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// OutOfService says which failure domains operators have taken out of service.
-// Their backend servers get no work; their nodes go on serving callers. It is
-// immutable: the With methods return changed copies. The zero value knows nothing.
+// OutOfService is the set of failure domains that operators have taken out of
+// service. Backend servers in these domains receive no requests; nodes in them
+// continue to serve callers. It is immutable: the With methods return changed
+// copies. The zero value is the empty set at version zero.
 type OutOfService struct {
-	// Version orders states: whoever has two of them goes by the higher one.
+	// Version orders the sets: the one with the highest version is in force.
 	Version uint64 `msgpack:"version" json:"version"`
-	// Domains are sorted and each stands once.
+	// Domains is sorted and has no duplicates.
 	Domains []FailureDomain `msgpack:"domains,omitempty" json:"domains"`
 }
 
@@ -18,13 +19,14 @@
 	return found
 }
 
-// WithVersion returns a copy of that version.
+// WithVersion returns a copy with the given version.
 func (o OutOfService) WithVersion(version uint64) OutOfService {
 	o.Version = version
 	return o
 }
 
-// WithDomain returns a copy in which the domain is out of service, or is not.
+// WithDomain returns a copy in which the domain is out of service if out is true,
+// and in service otherwise.
 func (o OutOfService) WithDomain(domain FailureDomain, out bool) OutOfService {
 	i, found := slices.BinarySearch(o.Domains, domain)
 	switch {
@@ -36,7 +38,8 @@
 	return o
 }
 
-// SameDomains reports whether both name the same domains.
+// SameDomains reports whether o and other contain the same domains. Their versions
+// may differ.
 func (o OutOfService) SameDomains(other OutOfService) bool {
 	return slices.Equal(o.Domains, other.Domains)
 }
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -2,35 +2,39 @@
 
 import "time"
 
-// Heartbeat is what a backend server says of itself to the node beside it, over
-// and over.
+// Heartbeat is the periodic report of a backend server to the node that runs beside
+// it.
 type Heartbeat struct {
-	// ID names the backend server. It may be the same over several starts.
+	// ID identifies the backend server. It may stay the same over restarts.
 	ID string
-	// Service is what it serves, at Address, an IP number and a port.
+	// Service is the service that the backend server offers at Address, an IP
+	// address and a port.
 	Service ServiceName
 	Address string
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the backend server handles at once.
 	Slots int
-	// Cold is how much longer it is slow after its start.
+	// Cold is the remaining time for which the backend server is slow after its
+	// start.
 	Cold time.Duration
-	// Started is when it started by its own wall clock. It tells its starts apart.
+	// Started is the time at which the backend server started, by its own wall
+	// clock. It differs between the runs of one server.
 	Started time.Time
-	// Sequence counts the heartbeats of one start.
+	// Sequence numbers the heartbeats of one run.
 	Sequence uint64
-	// State says whether it takes work.
+	// State tells whether the backend server accepts new requests.
 	State BackendState
 }
 
-// BackendState says whether a backend server takes work.
+// BackendState tells whether a backend server accepts new requests.
 type BackendState string
 
 // The states of a backend server.
 const (
-	// BackendReady means that it takes work.
+	// BackendReady means that the backend server accepts requests.
 	BackendReady BackendState = "ready"
-	// BackendDraining means that it finishes what runs and takes no new work.
+	// BackendDraining means that the backend server completes its running requests
+	// and accepts no new ones.
 	BackendDraining BackendState = "draining"
-	// BackendGone means that it has announced its end.
+	// BackendGone means that the backend server has deregistered.
 	BackendGone BackendState = "gone"
 )
--- a/instant.go
+++ b/instant.go
@@ -3,25 +3,27 @@
 import "time"
 
 // Instant is one reading of a node's clocks. All durations count from the
-// node's start and never run backwards.
+// node's start and never decrease.
 //
-// Two readings exist because a pause shows differently on each clock: a
-// suspended machine stops the monotonic clock, and a corrected wall clock
-// jumps. Whoever asks "may I still?" uses Expiry, which is never behind real
-// time; whoever asks "has the other's term passed?" or refills a bucket uses
-// Monotonic, which is never ahead of it.
+// There are two durations because neither clock is reliable alone: the monotonic
+// clock stops while the machine is suspended, and the wall clock jumps when it is
+// corrected. Use Expiry, which is never behind real time, to check whether a lease,
+// token or deadline of this node is still valid. Use Monotonic, which is never ahead
+// of real time, to check whether another node's lease has expired, and to refill a
+// bucket.
 type Instant struct {
-	// Monotonic is the time that has passed for certain.
+	// Monotonic is the lower bound of the elapsed time.
 	Monotonic time.Duration
-	// Expiry is the time that may have passed: it advances by the larger of
-	// the monotonic and the wall clock's step.
+	// Expiry is the upper bound of the elapsed time: it advances by the larger of
+	// the monotonic clock's and the wall clock's step.
 	Expiry time.Duration
-	// Wall is the wall clock, for stamps that people or other programs read.
+	// Wall is the wall clock's time, for timestamps that people or other programs
+	// read.
 	Wall time.Time
 }
 
-// At returns an instant at which all clocks agree that elapsed has passed
-// since the Unix epoch. It serves tests and virtual clocks.
+// At returns an instant on which all clocks agree: elapsed has passed since the
+// Unix epoch. It is meant for tests and virtual clocks.
 func At(elapsed time.Duration) Instant {
 	return Instant{Monotonic: elapsed, Expiry: elapsed, Wall: time.Unix(0, 0).UTC().Add(elapsed)}
 }
--- a/platform.go
+++ b/platform.go
@@ -6,25 +6,27 @@
 )
 
 // ErrConflict is returned by Table.Transact when a condition did not hold;
-// nothing was written. Read the rows again and decide anew.
-var ErrConflict = errors.New("coltsfootward: table condition did not hold: read the rows again and decide anew")
+// nothing was written. Read the rows again before you build a new transaction.
+var ErrConflict = errors.New("coltsfootward: table condition did not hold: read the rows again and retry")
 
-// ErrUnavailable is returned by the platform's interfaces when no answer came.
-// A write may have taken effect all the same: read before writing again.
-var ErrUnavailable = errors.New("coltsfootward: platform gave no answer: read again before repeating a write")
+// ErrUnavailable is returned by the platform's interfaces when they got no usable
+// response. A write may have taken effect nevertheless: read before you write again.
+var ErrUnavailable = errors.New("coltsfootward: no usable response from the platform: read again before you retry a write")
 
-// ErrNotFound is returned by Objects.Get when there is no such object.
-var ErrNotFound = errors.New("coltsfootward: no such object: check its name")
+// ErrNotFound is returned by Objects.Get when the object does not exist.
+var ErrNotFound = errors.New("coltsfootward: object does not exist: check its name")
 
 // Row is one row of the platform's table.
 type Row struct {
 	Key   string `msgpack:"key" json:"key"`
 	Value []byte `msgpack:"value" json:"value"`
-	// Version changes with every write of the row; zero means there is no row.
+	// Version changes with every write of the row. Zero means that the row does
+	// not exist.
 	Version uint64 `msgpack:"version" json:"version"`
 }
 
-// Condition holds while the row has that version.
+// Condition holds if the row with the given key has the given version. Version zero
+// requires that the row does not exist.
 type Condition struct {
 	Key     string `msgpack:"key" json:"key"`
 	Version uint64 `msgpack:"version" json:"version"`
@@ -37,7 +39,7 @@
 	Delete bool   `msgpack:"delete" json:"delete"`
 }
 
-// Transaction writes all rows if all conditions hold, else none.
+// Transaction performs all writes if all conditions hold, and none otherwise.
 type Transaction struct {
 	Conditions []Condition `msgpack:"conditions" json:"conditions"`
 	Writes     []Write     `msgpack:"writes" json:"writes"`
@@ -46,66 +48,70 @@
 // Table is the platform's transactional table. Implementations are safe for
 // concurrent use. Every method may return ErrUnavailable.
 type Table interface {
-	// Read returns the row; a missing row has version zero and no error.
+	// Read returns the row with the key. A missing row is returned with version
+	// zero and no error.
 	Read(ctx context.Context, key string) (Row, error)
-	// Scan returns up to limit rows whose key starts with prefix and sorts
-	// after the key after, in key order.
+	// Scan returns up to limit rows, in key order, whose keys start with prefix and
+	// sort after the key after.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Transact returns ErrConflict if a condition did not hold.
+	// Transact executes the transaction. It returns ErrConflict if a condition did
+	// not hold.
 	Transact(ctx context.Context, t Transaction) error
 }
 
 // Objects is the platform's object store. Implementations are safe for
 // concurrent use.
 type Objects interface {
-	// Get returns ErrNotFound if there is no such object.
+	// Get returns the object's content, or ErrNotFound if the object does not exist.
 	Get(ctx context.Context, name string) ([]byte, error)
+	// Put creates or replaces the object.
 	Put(ctx context.Context, name string, data []byte) error
 }
 
-// Cursor is a place in the history of what a platform keeps.
+// Cursor is a position in the platform's change history.
 type Cursor uint64
 
-// ErrHistoryLost is returned by Documents.Changed when the platform has dropped
-// the history after the cursor. Read the document again.
-var ErrHistoryLost = errors.New("coltsfootward: the platform has dropped its history: read the whole document again")
+// ErrHistoryLost is returned by Documents.WaitForChange when the platform has dropped
+// the history after the cursor. Read the full document again.
+var ErrHistoryLost = errors.New("coltsfootward: the platform has dropped its change history: read the full document again")
 
-// ErrNoDocument is returned by Documents.Read while operators have stored none.
-var ErrNoDocument = errors.New("coltsfootward: no configuration is stored: have operators write one")
+// ErrNoDocument is returned by Documents.Read while no configuration is stored.
+var ErrNoDocument = errors.New("coltsfootward: no configuration is stored: an operator must store one")
 
-// Document is what operators have stored, as it was read at one moment.
+// Document is a snapshot of the settings that operators have stored.
 type Document struct {
-	// Configuration has revision zero if none is stored or it did not change.
+	// Configuration has revision zero if none is stored, or if it is the same as in
+	// the previous document.
 	Configuration Configuration
-	// OutOfService names the failure domains that get no work.
+	// OutOfService is the set of failure domains that receive no requests.
 	OutOfService OutOfService
-	// Cursor is where the history goes on.
+	// Cursor is the position in the change history at which the snapshot was taken.
 	Cursor Cursor
 }
 
-// Documents is where a platform keeps what operators have set: the whole
-// configuration as one document, and the failure domains that are out of service.
-// Implementations are safe for concurrent use. Every method may return
+// Documents gives access to the settings that operators have stored at a platform:
+// the full configuration as one document, and the failure domains that are out of
+// service. Implementations are safe for concurrent use. Every method may return
 // ErrUnavailable.
 type Documents interface {
-	// Read returns the present document. With ErrNoDocument or a *DocumentError
-	// the rest of the document holds all the same.
+	// Read returns the present document. If the error is ErrNoDocument or a
+	// *DocumentError, the document's other fields are valid.
 	Read(ctx context.Context) (Document, error)
-	// Changed waits for a change of the document that was read last, as long as
-	// the platform lets it wait, and returns the next one. Its errors are those
-	// of Read and ErrHistoryLost.
-	Changed(ctx context.Context, last Document) (Document, error)
+	// WaitForChange waits until the document differs from last, or until the platform
+	// ends the long poll, and returns the present document. Besides the errors of
+	// Read it may return ErrHistoryLost.
+	WaitForChange(ctx context.Context, last Document) (Document, error)
 }
 
-// DocumentError says what is wrong with a configuration document.
+// DocumentError describes an error in a configuration document.
 type DocumentError struct {
-	// Place names the part of the document.
-	Place string
-	// Problem says what is wrong and how to correct it.
+	// Location is the part of the document that contains the error.
+	Location string
+	// Problem describes the error and how to correct it.
 	Problem string
 }
 
 // Error implements error.
 func (e *DocumentError) Error() string {
-	return "coltsfootward: configuration document: " + e.Place + ": " + e.Problem
+	return "coltsfootward: configuration document: " + e.Location + ": " + e.Problem
 }
--- a/priority.go
+++ b/priority.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Priority says how much a request matters. Under overload the least
-// important requests are shed first.
+// Priority is the importance of a request. Under overload the least important
+// requests are shed first.
 type Priority string
 
 // The priorities, most important first.
@@ -34,8 +34,8 @@
 	}
 }
 
-// ParsePriority returns the priority named by text. The empty text means
-// PriorityNormal.
+// ParsePriority returns the priority with the name text. An empty text means
+// PriorityNormal. For any other text it returns an error.
 func ParsePriority(text string) (Priority, error) {
 	if text == "" {
 		return PriorityNormal, nil
--- a/refusal.go
+++ b/refusal.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Execution says what is known about whether a request ran.
+// Execution tells a caller whether its request ran at a backend server.
 type Execution string
 
-// What a caller is told about a request's execution.
+// The values of Execution.
 const (
 	// ExecutionNotRun means that no byte of the request reached a backend server.
 	ExecutionNotRun Execution = "not_run"
-	// ExecutionUnknown means that the request may have run, whole or in part.
+	// ExecutionUnknown means that the request may have run, completely or in part.
 	ExecutionUnknown Execution = "unknown"
-	// ExecutionRan means that a backend server answered.
+	// ExecutionRan means that a backend server responded.
 	ExecutionRan Execution = "ran"
 )
 
-// RefusalKind says why a request got no answer from a backend server.
+// RefusalKind is the reason why a request got no response from a backend server.
 type RefusalKind string
 
 // The kinds of refusal.
@@ -82,7 +82,8 @@
 	RefusalCancelled:       {499, "the caller has left; nothing is to be done"},
 }
 
-// RefusalKinds lists every kind with its HTTP status, for the documentation's test.
+// RefusalKinds returns the HTTP status of every kind. The test of the documentation
+// compares the documented kinds with it.
 func RefusalKinds() map[RefusalKind]int {
 	kinds := make(map[RefusalKind]int, len(refusalTexts))
 	for kind, text := range refusalTexts {
@@ -91,23 +92,23 @@
 	return kinds
 }
 
-// SortedRefusalKinds lists every kind in the order of its name.
+// SortedRefusalKinds returns every kind, sorted by name.
 func SortedRefusalKinds() []RefusalKind {
 	return slices.Sorted(maps.Keys(refusalTexts))
 }
 
-// Refusal is the final answer to a request that got none from a backend
-// server. It is an error whose message names the remedy.
+// Refusal is the response to a request that got no response from a backend server.
+// It is an error whose message includes the remedy.
 type Refusal struct {
 	Kind      RefusalKind `msgpack:"kind" json:"kind"`
 	Execution Execution   `msgpack:"execution" json:"execution"`
-	// RetryAfter is when the caller may come back; zero means at once or never,
-	// as the kind says.
+	// RetryAfter is how long the caller should wait before it retries. Zero means
+	// that it may retry at once or should not retry, depending on the kind.
 	RetryAfter time.Duration `msgpack:"retry_after" json:"retry_after"`
-	// Final is set when a deeper layer has retried already, so that no other
-	// layer does.
+	// Final is set when a node further down the call chain has retried already, so
+	// that no node up the chain retries as well.
 	Final bool `msgpack:"final" json:"final"`
-	// Detail says what exactly was wrong. It never holds a key.
+	// Detail describes the reason for this request. It never contains a key.
 	Detail string `msgpack:"detail" json:"detail"`
 }
 
@@ -116,25 +117,25 @@
 	return Refusal{Kind: kind, Execution: ExecutionNotRun, Detail: detail}
 }
 
-// WithExecution returns a copy with another execution.
+// WithExecution returns a copy with the given execution.
 func (r Refusal) WithExecution(e Execution) Refusal {
 	r.Execution = e
 	return r
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that tells the caller to retry after d.
 func (r Refusal) WithRetryAfter(d time.Duration) Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// WithFinal returns a copy that no layer above retries.
+// WithFinal returns a copy that nodes up the call chain do not retry.
 func (r Refusal) WithFinal() Refusal {
 	r.Final = true
 	return r
 }
 
-// Status returns the HTTP status that the refusal is answered with.
+// Status returns the HTTP status of the response.
 func (r Refusal) Status() int {
 	if text, ok := refusalTexts[r.Kind]; ok {
 		return text.status
@@ -142,7 +143,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// Remedy says what the caller or operator can do.
+// Remedy returns what the caller or an operator can do about the refusal.
 func (r Refusal) Remedy() string {
 	return refusalTexts[r.Kind].remedy
 }
--- a/route.go
+++ b/route.go
@@ -6,42 +6,45 @@
 	"time"
 )
 
-// RouteName names a route in logs, and requests that go the same way as one
-// class of work.
+// RouteName identifies a route, in logs and as the class that a request is counted
+// under.
 type RouteName string
 
-// RouteTarget is one of the services that share a route's requests.
+// RouteTarget is one of the services that a route's requests are distributed over.
 type RouteTarget struct {
 	Service ServiceName `msgpack:"service" json:"service"`
-	// Weight is the service's share, as a proportion of the sum of all weights.
+	// Weight divided by the sum of the weights of all targets is the service's
+	// share of the requests.
 	Weight int `msgpack:"weight" json:"weight"`
 }
 
-// Route says where requests for a host and path go and how they are treated.
-// A deployment that names services in the path has no routes.
+// Route sets which services handle the requests for a host and path, and with which
+// timeout, priority and number of attempts. A deployment whose callers name the
+// service in the path has no routes.
 type Route struct {
 	Name RouteName `msgpack:"name" json:"name"`
-	// Host is the authority that the request names, in lower case.
+	// Host is the authority of the requests, in lower case.
 	Host string `msgpack:"host" json:"host"`
-	// PathPrefix begins and ends with a slash; the longest one that begins the
-	// request's path wins.
+	// PathPrefix begins and ends with a slash. Of the routes of a host, the one with
+	// the longest prefix of the request's path applies.
 	PathPrefix string        `msgpack:"path_prefix" json:"path_prefix"`
 	Targets    []RouteTarget `msgpack:"targets" json:"targets"`
-	// Timeout is how long a request may be kept waiting for its answer.
+	// Timeout is the time within which a request must get its response.
 	Timeout time.Duration `msgpack:"timeout" json:"timeout"`
-	// Objective is the latency up to which an answer has its full worth.
+	// Objective is the target latency: up to it a response has its full value.
 	Objective time.Duration `msgpack:"objective" json:"objective"`
-	// Attempts bounds the backend servers that one request may be sent to.
+	// Attempts limits the number of backend servers that one request may be sent to.
 	Attempts int      `msgpack:"attempts" json:"attempts"`
 	Priority Priority `msgpack:"priority" json:"priority"`
-	// Unrepeatable requests run at most once.
+	// Unrepeatable means that a request must run at most once and is not retried
+	// once it may have run.
 	Unrepeatable bool `msgpack:"unrepeatable" json:"unrepeatable"`
-	// Public routes need no key.
+	// Public means that callers need no key.
 	Public bool `msgpack:"public" json:"public"`
 }
 
-// Limits bound what a caller may send and how long it may take. A zero field
-// means the node's setting.
+// Limits bounds the size of callers' requests, the time to read a request's header,
+// and the idle time of callers' connections. A zero field means the node's setting.
 type Limits struct {
 	HeaderBytes   int64         `msgpack:"header_bytes" json:"header_bytes"`
 	BodyBytes     int64         `msgpack:"body_bytes" json:"body_bytes"`
@@ -49,14 +52,15 @@
 	IdleTimeout   time.Duration `msgpack:"idle_timeout" json:"idle_timeout"`
 }
 
-// routeTable finds routes by host and longest prefix.
+// routeTable looks up routes by host and longest path prefix. Its keys are hosts.
 type routeTable map[string]*hostRoutes
 
 // hostRoutes are the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]Route
-	// longest bounds the prefixes that are tried, in bytes.
-	longest int
+	// longestPrefix is the length of the longest prefix in bytes. A look-up tries
+	// no longer one.
+	longestPrefix int
 }
 
 func newRouteTable(routes []Route) routeTable {
@@ -68,13 +72,13 @@
 			t[r.Host] = h
 		}
 		h.byPrefix[r.PathPrefix] = r
-		h.longest = max(h.longest, len(r.PathPrefix))
+		h.longestPrefix = max(h.longestPrefix, len(r.PathPrefix))
 	}
 	return t
 }
 
-// find tries the path's prefixes that end with a slash, longest first: a look-up
-// costs the path's depth and not the number of routes.
+// find looks up the prefixes of the path that end with a slash, longest first. Its
+// cost depends on the depth of the path and not on the number of routes.
 func (t routeTable) find(host, path string) (Route, bool) {
 	h, ok := t[host]
 	if !ok {
@@ -83,7 +87,7 @@
 	if !ok {
 		return Route{}, false
 	}
-	prefix := path[:min(len(path), h.longest)]
+	prefix := path[:min(len(path), h.longestPrefix)]
 	for {
 		end := strings.LastIndexByte(prefix, '/')
 		if end < 0 {
@@ -96,21 +100,21 @@
 	}
 }
 
-// WithRoutes returns a copy with these routes in place of all others.
+// WithRoutes returns a copy in which routes replaces all routes.
 func (c Configuration) WithRoutes(routes []Route) Configuration {
 	c.routes = slices.Clone(routes)
 	c.routeTable = newRouteTable(c.routes)
 	return c
 }
 
-// WithLimits returns a copy with other limits.
+// WithLimits returns a copy with the given limits.
 func (c Configuration) WithLimits(l Limits) Configuration {
 	c.limits = l
 	return c
 }
 
-// Route returns the route of a request: of the host's, the one with the longest
-// prefix that begins the path.
+// Route returns the route of a request: of the host's routes, the one with the
+// longest prefix of the path. It returns false if there is none.
 func (c Configuration) Route(host, path string) (Route, bool) {
 	return c.routeTable.find(host, path)
 }
@@ -118,8 +122,9 @@
 // Routes returns every route.
 func (c Configuration) Routes() []Route { return slices.Clone(c.routes) }
 
-// Limits returns what callers may send.
+// Limits returns the limits of callers' requests.
 func (c Configuration) Limits() Limits { return c.limits }
 
-// HasOrganisations reports whether callers need a key.
+// HasOrganisations reports whether any organisation exists. Without organisations
+// callers need no key.
 func (c Configuration) HasOrganisations() bool { return len(c.organisations) > 0 }
