--- a/io/loop/clock.go
+++ b/io/loop/clock.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock reads this machine's clocks. Create it with NewClock. It is safe for
+// Clock reads the machine's clocks. Create it with NewClock. It is safe for
 // concurrent use.
 type Clock struct {
 	mu     sync.Mutex
@@ -21,17 +21,18 @@
 // NewClock returns a clock whose durations count from now.
 func NewClock() *Clock {
 	c := &Clock{start: time.Now()}
-	atStart, ok := sleptFor()
+	suspendedAtStart, startOK := suspendedTime()
 	c.clocks.Suspended = func() (time.Duration, bool) {
-		now, told := sleptFor()
-		return now - atStart, ok && told
+		suspendedNow, nowOK := suspendedTime()
+		return suspendedNow - suspendedAtStart, startOK && nowOK
 	}
 	return c
 }
 
-// sleptFor returns for how long the machine has been suspended since it started:
-// the clock that counts suspensions less the one that does not.
-func sleptFor() (time.Duration, bool) {
+// suspendedTime returns how long the machine has been suspended since it booted: the
+// difference of the clock that includes suspensions and the one that does not. It
+// returns false if the system does not provide one of the clocks.
+func suspendedTime() (time.Duration, bool) {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0, false
--- a/io/loop/close_test.go
+++ b/io/loop/close_test.go
@@ -13,12 +13,12 @@
 	"coltsfootward/io/loop"
 )
 
-// silentTable is a table that answers nothing.
-type silentTable struct{ asked chan struct{} }
+// silentTable is a table whose operations block until their context is done.
+type silentTable struct{ called chan struct{} }
 
 func (t silentTable) wait(ctx context.Context) error {
 	select {
-	case t.asked <- struct{}{}:
+	case t.called <- struct{}{}:
 	default:
 	}
 	<-ctx.Done()
@@ -37,10 +37,11 @@
 	return t.wait(ctx)
 }
 
-// A node that stopped while the platform answered nothing outlived its grace.
-func TestCloseWaitsForNoTable(t *testing.T) {
+// Guards against a Close that waits for operations on a table which does not respond.
+// The node would then exceed the grace period in which it must stop.
+func TestCloseDoesNotWaitForTable(t *testing.T) {
 	const closeBound = 500 * time.Millisecond
-	table := silentTable{asked: make(chan struct{}, 1)}
+	table := silentTable{called: make(chan struct{}, 1)}
 	clock := loop.NewClock()
 	options := node.Options{
 		Self:    coltsfootward.Instance{ID: "north-1", Domain: "north", Incarnation: 1},
@@ -53,14 +54,14 @@
 		Drained: func() {},
 	})
 	select {
-	case <-table.asked:
+	case <-table.called:
 	case <-time.After(10 * time.Second):
 		l.Close()
-		t.Fatal("the node never asked the platform")
+		t.Fatal("the node called no operation of the table within 10 s")
 	}
-	begun := time.Now()
+	started := time.Now()
 	l.Close()
-	if took := time.Since(begun); took > closeBound {
-		t.Errorf("Close took %v while the platform answers nothing, want %v at most", took, closeBound)
+	if took := time.Since(started); took > closeBound {
+		t.Errorf("Close took %v while the table does not respond, want at most %v", took, closeBound)
 	}
 }
--- a/io/loop/doc.go
+++ b/io/loop/doc.go
@@ -1,4 +1,3 @@
-// Package loop runs one node's machine: a single goroutine feeds it events and
-// hands its actions to those who carry them out. Rings between them are
-// bounded.
+// Package loop runs a node's state machine. A single goroutine passes events to the
+// state machine and dispatches the resulting actions. All queues are bounded.
 package loop
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -14,60 +14,62 @@
 )
 
 const (
-	// eventRing is how many events may wait for the machine.
-	eventRing = 4096
-	// callRing is how many actions may wait for one call's goroutine. A call
-	// gets a handful: one per attempt and one at its end.
-	callRing = 16
-	// tableRing is how many table operations may wait for a worker.
-	tableRing = 256
+	// eventQueueSize is the capacity of the state machine's event queue.
+	eventQueueSize = 4096
+	// callQueueSize is the capacity of a call's action queue. A call gets few actions:
+	// one per attempt and one at its end.
+	callQueueSize = 16
+	// tableQueueSize is how many table operations may wait for a worker.
+	tableQueueSize = 256
 	// tableWorkers is how many table operations run at once.
 	tableWorkers = 4
-	// tableTimeout bounds one operation on the platform's table.
+	// tableTimeout is the timeout of one operation on the platform's table.
 	tableTimeout = 2 * time.Second
 )
 
-// Outlets carry out the actions that belong to no call. None of them may block.
+// Outlets are the functions that execute the actions which belong to no call. They
+// run on the state machine's goroutine and must not block, except for the methods of
+// Table, which run on goroutines of their own.
 type Outlets struct {
 	// Send sends a message to a peer.
 	Send func(to coltsfootward.Instance, m message.Message)
 	// Table is the platform's table.
 	Table coltsfootward.Table
-	// Report takes a record for log and time line.
+	// Report writes a record to the log and the timeline.
 	Report func(record.Record)
-	// InForce is given each whole configuration that comes into force; nil means
-	// that nobody is.
+	// InForce, if not nil, is called with each full configuration that comes into
+	// force.
 	InForce func(coltsfootward.Configuration)
-	// CheckBackend asks for a health check of the backend server; nil means that
-	// there is none.
+	// CheckBackend, if not nil, starts a health check of the backend server.
 	CheckBackend func()
-	// Drained is called once the node has nothing left to do after a drain.
+	// Drained is called once a drain is complete.
 	Drained func()
-	// Observe is told of every event that the machine took, on the machine's
-	// goroutine. Nil means that nobody is.
+	// Observe, if not nil, is called for every event that the state machine has
+	// handled.
 	Observe func(Observation)
 }
 
-// Observation is one event and what the machine made of it.
+// Observation describes how the state machine handled one event.
 type Observation struct {
 	Event   node.Event
 	Actions []node.Action
-	// Waited is how long the event waited for the machine.
+	// Waited is how long the event was queued.
 	Waited time.Duration
-	// Took is how long the machine and the hand-over of its actions took.
+	// Took is how long it took to handle the event and to dispatch the actions.
 	Took time.Duration
 }
 
-// Loop runs a machine. Create it with New. It is safe for concurrent use.
+// Loop runs a state machine. Create it with New. It is safe for concurrent use.
 type Loop struct {
-	machine *node.Node
-	clock   *Clock
-	outlets Outlets
-	events  chan posted
-	table   chan func(context.Context)
-	// ending is done once the loop is closed: operations on the table end with it.
-	ending context.Context
-	end    context.CancelFunc
+	machine         *node.Node
+	clock           *Clock
+	outlets         Outlets
+	events          chan queueEntry
+	tableOperations chan func(context.Context)
+	// ctx is cancelled when the loop is closed. It is the parent of the contexts of
+	// all table operations.
+	ctx    context.Context
+	cancel context.CancelFunc
 	wait   sync.WaitGroup
 	nextID atomic.Uint64
 
@@ -75,64 +77,65 @@
 	calls map[node.CallID]chan node.Action
 }
 
-// New returns a loop that runs the machine until Close.
+// New returns a loop that runs the state machine until Close.
 func New(machine *node.Node, clock *Clock, outlets Outlets) *Loop {
 	l := &Loop{
-		machine: machine,
-		clock:   clock,
-		outlets: outlets,
-		events:  make(chan posted, eventRing),
-		table:   make(chan func(context.Context), tableRing),
-		calls:   make(map[node.CallID]chan node.Action),
+		machine:         machine,
+		clock:           clock,
+		outlets:         outlets,
+		events:          make(chan queueEntry, eventQueueSize),
+		tableOperations: make(chan func(context.Context), tableQueueSize),
+		calls:           make(map[node.CallID]chan node.Action),
 	}
-	l.ending, l.end = context.WithCancel(context.Background())
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.wait.Go(l.run)
 	for range tableWorkers {
-		l.wait.Go(l.work)
+		l.wait.Go(l.runTableWorker)
 	}
 	return l
 }
 
 // Close stops the loop and waits for its goroutines.
 func (l *Loop) Close() {
-	l.end()
+	l.cancel()
 	l.wait.Wait()
 }
 
 // Done returns a channel that is closed when the loop stops.
-func (l *Loop) Done() <-chan struct{} { return l.ending.Done() }
+func (l *Loop) Done() <-chan struct{} { return l.ctx.Done() }
 
-// posted is what waits for the machine: an event and since when, or an inspection.
-type posted struct {
-	event   node.Event
-	at      time.Time
-	inspect func(*node.Node)
+// queueEntry is an entry of the event queue: an event and the time it was queued, or a
+// function that inspects the state machine.
+type queueEntry struct {
+	event    node.Event
+	queuedAt time.Time
+	inspect  func(*node.Node)
 }
 
-// Post hands an event to the machine. It waits while the ring is full and
-// drops the event once the loop has stopped.
-func (l *Loop) Post(event node.Event) { l.enqueue(posted{event: event, at: time.Now()}) }
+// Post queues an event for the state machine. It blocks while the queue is full, and
+// drops the event if the loop has stopped.
+func (l *Loop) Post(event node.Event) { l.enqueue(queueEntry{event: event, queuedAt: time.Now()}) }
 
-func (l *Loop) enqueue(p posted) bool {
+func (l *Loop) enqueue(entry queueEntry) bool {
 	select {
-	case l.events <- p:
+	case l.events <- entry:
 		return true
-	case <-l.ending.Done():
+	case <-l.ctx.Done():
 		return false
 	}
 }
 
-// Inspect runs f on the machine's goroutine and waits for it. It returns false
-// if the loop has stopped.
+// Inspect runs f on the state machine's goroutine, after the events that are already
+// queued, and waits until f has returned. It returns false if the loop has stopped.
 func (l *Loop) Inspect(f func(*node.Node)) bool {
 	finished := make(chan struct{})
-	if !l.enqueue(posted{inspect: func(n *node.Node) { f(n); close(finished) }}) {
+	if !l.enqueue(queueEntry{inspect: func(n *node.Node) { f(n); close(finished) }}) {
 		return false
 	}
 	select {
 	case <-finished:
 		return true
-	case <-l.ending.Done():
+	case <-l.ctx.Done():
 		return false
 	}
 }
@@ -142,33 +145,33 @@
 	defer timer.Stop()
 	for {
 		select {
-		case p := <-l.events:
-			if p.inspect != nil {
-				p.inspect(l.machine)
+		case entry := <-l.events:
+			if entry.inspect != nil {
+				entry.inspect(l.machine)
 				continue
 			}
-			l.handle(p.event, p.at)
+			l.handle(entry.event, entry.queuedAt)
 		case <-timer.C:
 			l.handle(node.Tick{}, time.Now())
 			timer.Reset(l.machine.NextTick())
-		case <-l.ending.Done():
+		case <-l.ctx.Done():
 			return
 		}
 	}
 }
 
-func (l *Loop) handle(event node.Event, posted time.Time) {
-	begun := time.Now()
+func (l *Loop) handle(event node.Event, queuedAt time.Time) {
+	started := time.Now()
 	actions := l.machine.Handle(l.clock.Now(), event)
 	for _, action := range actions {
-		l.perform(action)
+		l.execute(action)
 	}
 	if l.outlets.Observe != nil {
-		l.outlets.Observe(Observation{Event: event, Actions: actions, Waited: begun.Sub(posted), Took: time.Since(begun)})
+		l.outlets.Observe(Observation{Event: event, Actions: actions, Waited: started.Sub(queuedAt), Took: time.Since(started)})
 	}
 }
 
-func (l *Loop) perform(action node.Action) {
+func (l *Loop) execute(action node.Action) {
 	switch a := action.(type) {
 	case node.Refuse:
 		l.deliver(a.Call, a)
@@ -214,8 +217,9 @@
 	}
 }
 
-// tableOperation queues an operation. With the ring full the platform is so
-// slow that waiting longer would not help: the operation counts as unanswered.
+// tableOperation queues an operation for the table workers. If the queue is full, the
+// platform is so slow that waiting longer would not help, and the operation fails with
+// ErrUnavailable at once.
 func (l *Loop) tableOperation(id node.OperationID, run func(context.Context) ([]coltsfootward.Row, error)) {
 	operation := func(ctx context.Context) {
 		rows, err := run(ctx)
@@ -225,45 +229,45 @@
 		l.Post(node.TableAnswered{Operation: id, Rows: rows, Err: err})
 	}
 	select {
-	case l.table <- operation:
+	case l.tableOperations <- operation:
 	default:
 		l.wait.Go(func() { l.Post(node.TableAnswered{Operation: id, Err: coltsfootward.ErrUnavailable}) })
 	}
 }
 
-func (l *Loop) work() {
+func (l *Loop) runTableWorker() {
 	for {
 		select {
-		case operation := <-l.table:
-			ctx, cancel := context.WithTimeout(l.ending, tableTimeout)
+		case operation := <-l.tableOperations:
+			ctx, cancel := context.WithTimeout(l.ctx, tableTimeout)
 			operation(ctx)
 			cancel()
-		case <-l.ending.Done():
+		case <-l.ctx.Done():
 			return
 		}
 	}
 }
 
-// Call is one call's line to the machine.
+// Call connects one call's goroutine to the state machine.
 type Call struct {
-	// ID numbers the call in events.
+	// ID identifies the call in events.
 	ID node.CallID
-	// Actions brings what the machine wants done for this call.
+	// Actions delivers the actions that the state machine requests for this call.
 	Actions <-chan node.Action
 	loop    *Loop
 }
 
-// Open returns a new call. Close it once it is over.
+// Open registers a new call. The caller must Close it when the call has ended.
 func (l *Loop) Open() *Call {
 	id := node.CallID(l.nextID.Add(1))
-	actions := make(chan node.Action, callRing)
+	actions := make(chan node.Action, callQueueSize)
 	l.mu.Lock()
 	l.calls[id] = actions
 	l.mu.Unlock()
 	return &Call{ID: id, Actions: actions, loop: l}
 }
 
-// Close forgets the call.
+// Close unregisters the call. Later actions for it are dropped.
 func (c *Call) Close() {
 	c.loop.mu.Lock()
 	defer c.loop.mu.Unlock()
