--- a/io/document/watch.go
+++ b/io/document/watch.go
@@ -1,5 +1,5 @@
-// Package document follows the platform's configuration document and hands each
-// new one to the node.
+// Package document watches the platform's configuration document and passes each new
+// version to the node.
 package document
 
 import (
@@ -14,38 +14,40 @@
 )
 
 const (
-	// firstWait and longestWait bound the pause after a failed call. The longest
-	// one is short beside the seconds within which a change is to be in force;
-	// one call a second from each node that watches is far below what the
-	// platform serves.
-	firstWait   = 100 * time.Millisecond
-	longestWait = 800 * time.Millisecond
-	// awaitWait and idleWait are the pauses of a node that has nothing to do about the
-	// document, before it asks again: while there is none yet, and later.
-	awaitWait = 100 * time.Millisecond
-	idleWait  = time.Second
-	// readWait is the pause after a read that found no document. Whoever follows
-	// the document brings the first one to the others.
-	readWait = 2 * time.Second
-	// readTimeout bounds one read of the whole document.
+	// minimumBackoff and maximumBackoff limit the backoff after a failed call. The
+	// maximum is short compared with the seconds within which a change must be in
+	// force. The resulting load of about one call per second from each node that
+	// watches is far below the platform's capacity.
+	minimumBackoff = 100 * time.Millisecond
+	maximumBackoff = 800 * time.Millisecond
+	// awaitInterval and idleInterval are the intervals at which a node without a task
+	// checks for one: awaitInterval while it expects its first document from other
+	// nodes, idleInterval after that.
+	awaitInterval = 100 * time.Millisecond
+	idleInterval  = time.Second
+	// missingDocumentDelay is the delay after a read that found no document. The nodes
+	// that follow the document send the first one to the others.
+	missingDocumentDelay = 2 * time.Second
+	// readTimeout is the timeout of one read of the full document.
 	readTimeout = 2 * time.Second
 )
 
-// Options say what a Watcher does with what it reads.
+// Options are the parameters of a Watcher. All of them are required.
 type Options struct {
-	// Source is where the document is.
+	// Source provides the document.
 	Source coltsfootward.Documents
-	// Duty says what is to be done now.
+	// Duty returns the node's present task.
 	Duty func() node.DocumentDuty
-	// Found is given each document that was read.
+	// Found is called with each document that was read.
 	Found func(coltsfootward.Document)
-	// Failed is told of each call that failed, and of documents that can't be used.
+	// Failed is called with the error of each call that failed or returned an
+	// invalid document.
 	Failed func(error)
-	// Answered is told of each call that was answered.
+	// Answered is called after each call that the platform responded to.
 	Answered func()
 }
 
-// Watcher follows the document until Close. Create it with New.
+// Watcher watches the document until Close. Create it with New.
 type Watcher struct {
 	options Options
 	ctx     context.Context
@@ -53,7 +55,7 @@
 	wait    sync.WaitGroup
 }
 
-// New returns a watcher that runs.
+// New starts a watcher.
 func New(options Options) *Watcher {
 	w := &Watcher{options: options}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
@@ -61,60 +63,59 @@
 	return w
 }
 
-// Close stops the watcher and waits for it.
+// Close stops the watcher and waits until it has stopped.
 func (w *Watcher) Close() {
 	w.cancel()
 	w.wait.Wait()
 }
 
-// run reads the document whole, then follows its changes. After a failure it
-// follows on from the same place: the platform keeps some history, and reading
-// everything again from all nodes at once is what a platform that has just come
-// back can least bear.
+// run reads the full document, then follows its changes. After a failure it continues
+// from the last cursor, as the platform keeps some history. If all nodes read the full
+// document again instead, they would overload a platform that has just recovered.
 func (w *Watcher) run() {
-	known := false
+	haveLast := false
 	var last coltsfootward.Document
-	pause := firstWait
+	backoff := minimumBackoff
 	for w.ctx.Err() == nil {
-		duty := w.options.Duty()
-		switch duty {
+		task := w.options.Duty()
+		switch task {
 		case node.DocumentAwaited:
-			w.sleep(awaitWait)
+			w.sleep(awaitInterval)
 			continue
 		case node.DocumentNone:
-			w.sleep(idleWait)
+			w.sleep(idleInterval)
 			continue
 		}
 		var next coltsfootward.Document
 		var err error
-		if known && duty == node.DocumentFollow {
-			next, err = w.options.Source.Changed(w.ctx, last)
+		if haveLast && task == node.DocumentFollow {
+			next, err = w.options.Source.WaitForChange(w.ctx, last)
 		} else {
 			next, err = w.read()
 		}
 		if err != nil && w.ctx.Err() == nil {
 			w.options.Failed(err)
 		}
-		if !usable(err) {
-			known = known && !errors.Is(err, coltsfootward.ErrHistoryLost)
-			w.sleep(pause)
-			pause = min(2*pause, longestWait)
+		if !responded(err) {
+			haveLast = haveLast && !errors.Is(err, coltsfootward.ErrHistoryLost)
+			w.sleep(backoff)
+			backoff = min(2*backoff, maximumBackoff)
 			continue
 		}
-		pause = firstWait
-		known = true
+		backoff = minimumBackoff
+		haveLast = true
 		last = next
 		w.options.Answered()
 		w.options.Found(next)
-		if next.Configuration.Revision() == 0 && duty == node.DocumentRead {
-			w.sleep(readWait)
+		if next.Configuration.Revision() == 0 && task == node.DocumentRead {
+			w.sleep(missingDocumentDelay)
 		}
 	}
 }
 
-// usable reports whether the platform answered, be it that there is no document or
-// that it can't be used.
-func usable(err error) bool {
+// responded reports whether the platform responded, even if no document is stored or the
+// document is invalid.
+func responded(err error) bool {
 	var invalid *coltsfootward.DocumentError
 	return err == nil || errors.Is(err, coltsfootward.ErrNoDocument) || errors.As(err, &invalid)
 }
@@ -125,8 +126,8 @@
 	return w.options.Source.Read(ctx)
 }
 
-// sleep waits for about d, spread so that nodes that failed together do not
-// call together again.
+// sleep waits for a random time from d/2 to 3d/2, or until the watcher is closed. The
+// jitter prevents that nodes whose calls failed together retry together.
 func (w *Watcher) sleep(d time.Duration) {
 	d = d/2 + time.Duration(rand.Int64N(int64(d)))
 	timer := time.NewTimer(d)
--- a/io/document/watch_test.go
+++ b/io/document/watch_test.go
@@ -11,7 +11,8 @@
 	"coltsfootward/io/document"
 )
 
-// source counts calls and holds a document of that revision; zero is none.
+// source counts calls. Its document has the given revision; with revision zero there is
+// no document.
 type source struct {
 	mu             sync.Mutex
 	revision       coltsfootward.Revision
@@ -28,7 +29,7 @@
 	return coltsfootward.Document{Configuration: coltsfootward.NewConfiguration(s.revision, nil, nil, nil), Cursor: 1}, nil
 }
 
-func (s *source) Changed(ctx context.Context, last coltsfootward.Document) (coltsfootward.Document, error) {
+func (s *source) WaitForChange(ctx context.Context, last coltsfootward.Document) (coltsfootward.Document, error) {
 	s.mu.Lock()
 	s.changes++
 	s.mu.Unlock()
@@ -66,21 +67,22 @@
 	return reads, changes, found
 }
 
-func TestNodeWithoutDutyCallsNobody(t *testing.T) {
+func TestNoCallsWithoutTask(t *testing.T) {
 	if reads, changes, _ := watch(t, &source{revision: 1}, node.DocumentNone, 300*time.Millisecond); reads+changes > 0 {
 		t.Errorf("got %d reads and %d follows, want none", reads, changes)
 	}
 }
 
-func TestReaderFollowsAfterOneRead(t *testing.T) {
+func TestFollowerReadsOnce(t *testing.T) {
 	reads, changes, found := watch(t, &source{revision: 1}, node.DocumentFollow, 300*time.Millisecond)
 	if reads != 1 || changes != 1 || found != 1 {
 		t.Errorf("got %d reads, %d follows and %d documents, want one of each", reads, changes, found)
 	}
 }
 
-// Guards against nodes that read ever again while operators have stored nothing.
-func TestMissingDocumentIsNotReadAtOnceAgain(t *testing.T) {
+// Guards against nodes that read the document in a tight loop while operators have
+// stored none.
+func TestReadOfMissingDocumentIsDelayed(t *testing.T) {
 	if reads, changes, _ := watch(t, &source{}, node.DocumentRead, 500*time.Millisecond); reads != 1 || changes != 0 {
 		t.Errorf("got %d reads and %d follows in half a second, want one read", reads, changes)
 	}
--- a/io/platform/platform.go
+++ b/io/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform speaks HTTP to the platform's transactional table and
+// Package platform is an HTTP client of the platform's transactional table and
 // object store.
 package platform
 
@@ -15,7 +15,7 @@
 	"coltsfootward"
 )
 
-// The paths of the platform's interface.
+// The paths of the platform's HTTP interface.
 const (
 	PathRead     = "/table/read"
 	PathScan     = "/table/scan"
@@ -23,25 +23,26 @@
 	PathObjects  = "/objects/"
 )
 
-// maximumAnswer bounds an answer in bytes.
-const maximumAnswer = 64 << 20
+// maximumResponseBytes is the maximum size of a response in bytes.
+const maximumResponseBytes = 64 << 20
 
-// idleConnections is how many idle connections to the platform are kept.
+// idleConnections is the maximum number of idle connections to the platform.
 const idleConnections = 4
 
-// ReadRequest asks for one row.
+// ReadRequest is the body of a request for one row.
 type ReadRequest struct {
 	Key string `json:"key"`
 }
 
-// ScanRequest asks for rows in key order.
+// ScanRequest is the body of a request for rows in key order. Its fields are the
+// parameters of coltsfootward.Table.Scan.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 	After  string `json:"after"`
 	Limit  int    `json:"limit"`
 }
 
-// RowsResponse answers a read or a scan.
+// RowsResponse is the body of the response to a read or a scan.
 type RowsResponse struct {
 	Rows []coltsfootward.Row `json:"rows"`
 }
@@ -53,13 +54,14 @@
 	http *http.Client
 }
 
-// New returns a client of the platform at base, such as http://10.0.0.1:7000.
+// New returns a client of the platform at the base URL, such as
+// http://10.0.0.1:7000.
 func New(base string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: 90 * time.Second}
 	return &Client{base: base, http: &http.Client{Transport: transport}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Read implements coltsfootward.Table.
@@ -69,7 +71,7 @@
 		return coltsfootward.Row{}, err
 	}
 	if len(response.Rows) != 1 {
-		return coltsfootward.Row{}, fmt.Errorf("%w: %d rows for one", coltsfootward.ErrUnavailable, len(response.Rows))
+		return coltsfootward.Row{}, fmt.Errorf("%w: response to a read of one row has %d rows", coltsfootward.ErrUnavailable, len(response.Rows))
 	}
 	return response.Rows[0], nil
 }
@@ -107,12 +109,12 @@
 		return err
 	}
 	if err := json.Unmarshal(body, response); err != nil {
-		return fmt.Errorf("%w: undecodable answer: %v", coltsfootward.ErrUnavailable, err)
+		return fmt.Errorf("%w: undecodable response: %v", coltsfootward.ErrUnavailable, err)
 	}
 	return nil
 }
 
-// do sends one request and maps its status.
+// do sends one request and converts the status of the response to an error.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	status, data, err := Exchange(ctx, c.http, method, c.base+path, body)
 	if err != nil {
@@ -130,15 +132,16 @@
 	}
 }
 
-// Exchange sends one request to a platform and returns the answer's status and
-// whole body. Whatever is no whole answer is coltsfootward.ErrUnavailable, since
-// the operation may have taken effect.
+// Exchange sends one request to a platform and returns the status and the full body of
+// the response. If there is no complete response, the error is
+// coltsfootward.ErrUnavailable, since the operation may have taken effect.
 func Exchange(ctx context.Context, client *http.Client, method, address string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, fmt.Errorf("platform: build request: %w", err)
 	}
-	// A write must not be sent twice by net/http itself; the caller decides.
+	// Without GetBody, net/http does not resend the body of a failed request. A write
+	// must not be sent twice unless the caller decides so.
 	request.GetBody = nil
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
@@ -148,7 +151,7 @@
 		return 0, nil, fmt.Errorf("%w: %w", coltsfootward.ErrUnavailable, err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maximumResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", coltsfootward.ErrUnavailable, err)
 	}
--- a/io/worker/pool.go
+++ b/io/worker/pool.go
@@ -1,6 +1,6 @@
-// Package worker runs short tasks on goroutines that are used again. A goroutine of
-// its own for each task begins with a small stack and grows it by copying, task by
-// task, which is a measurable part of what a task costs.
+// Package worker runs short tasks on reused goroutines. A new goroutine for each task
+// would start with a small stack that grows by copying, which is a measurable part of
+// the cost of a task.
 package worker
 
 import (
@@ -8,7 +8,8 @@
 	"sync/atomic"
 )
 
-// maximumIdle bounds the goroutines that wait for a task, and so their stacks.
+// maximumIdle is the maximum number of idle goroutines. It bounds the memory that their
+// stacks take.
 const maximumIdle = 64
 
 // Pool runs tasks. Create it with NewPool. It is safe for concurrent use.
@@ -25,7 +26,8 @@
 	return &Pool{tasks: make(chan func()), done: make(chan struct{})}
 }
 
-// Go runs a task, on a goroutine that waits for one or on a new one.
+// Go runs a task on an idle goroutine, or on a new one if none is idle. It does not wait
+// for the task.
 func (p *Pool) Go(task func()) {
 	select {
 	case p.tasks <- task:
@@ -34,7 +36,8 @@
 	}
 }
 
-// run runs a task and those that follow while few others wait for one.
+// run runs task and then further tasks, until the pool is closed or has enough idle
+// goroutines.
 func (p *Pool) run(task func()) {
 	for {
 		task()
@@ -52,8 +55,8 @@
 	}
 }
 
-// Close ends the goroutines that wait and returns once all tasks have ended. Tasks
-// may still be given to the pool meanwhile; each then has a goroutine of its own.
+// Close ends the idle goroutines and returns once all tasks have ended. Tasks that are
+// passed to Go meanwhile each run on a goroutine of their own.
 func (p *Pool) Close() {
 	p.once.Do(func() { close(p.done) })
 	p.wait.Wait()
--- a/io/worker/pool_test.go
+++ b/io/worker/pool_test.go
@@ -27,20 +27,20 @@
 	}
 }
 
-// Guards against a task that waits for another one of the pool for ever.
+// Guards against a deadlock of tasks that wait for earlier tasks of the same pool.
 func TestTasksMayWaitForEachOther(_ *testing.T) {
 	p := worker.NewPool()
-	var link chan struct{}
+	var last chan struct{}
 	for range 300 {
-		ahead, own := link, make(chan struct{})
-		link = own
+		previous, own := last, make(chan struct{})
+		last = own
 		p.Go(func() {
-			if ahead != nil {
-				<-ahead
+			if previous != nil {
+				<-previous
 			}
 			close(own)
 		})
 	}
-	<-link
+	<-last
 	p.Close()
 }
