--- a/core/node/action.go
+++ b/core/node/action.go
@@ -9,25 +9,26 @@
 	"coltsfootward/core/record"
 )
 
-// OperationID numbers a node's operations on the platform's table.
+// OperationID identifies one of the node's operations on the platform's table.
 type OperationID uint64
 
-// Action is something that the shell is to do.
+// Action is an output of the state machine that the driver has to carry out.
 type Action interface{ isAction() }
 
-// Refuse answers a call, from a caller or a peer, with a refusal. The call is
-// over: no event about it is expected.
+// Refuse answers a call from a caller or a peer with a refusal. The call is
+// over: no further event about it is expected.
 type Refuse struct {
 	Call    CallID
 	Refusal coltsfootward.Refusal
-	// Load goes to the peer with the refusal.
+	// Load is sent to the peer with the refusal.
 	Load message.Load
-	// Attempts is how many attempts were used.
+	// Attempts is the number of attempts used.
 	Attempts int
 }
 
-// Forward begins an attempt: send the call to that instance, which may be this
-// one. The shell fills in the header and the body and reports AttemptEnded.
+// Forward starts an attempt: the driver sends the call to the given instance,
+// which may be this one. The driver fills in the header and the body, and
+// reports AttemptEnded.
 type Forward struct {
 	Call CallID
 	To   coltsfootward.Instance
@@ -38,55 +39,59 @@
 type Dispatch struct {
 	Call  CallID
 	Token CallToken
-	// Deadline is when the upstream's work loses its worth, by Instant.Expiry.
+	// Deadline is when the response becomes worthless, by Instant.Expiry.
 	Deadline time.Duration
-	// StartBy is when the admission ends, by Instant.Expiry: the shell checks
-	// it once more just before the first byte. Zero means no limit.
+	// StartBy is when the admission expires, by Instant.Expiry. The driver
+	// checks it once more just before it sends the first byte. Zero means no
+	// limit.
 	StartBy time.Duration
-	// Unrepeatable requests must not be sent twice by a transport's own retry.
+	// Unrepeatable requests must not be sent again by a retry of the transport.
 	Unrepeatable bool
 }
 
-// Replay answers a repeat with the first request's whole answer. The call is
-// over: no event about it is expected.
+// Replay answers a repeated request with the complete response to the first
+// one. The call is over: no further event about it is expected.
 type Replay struct {
 	Call   CallID
 	Answer claim.Answer
 }
 
-// EndAnswer closes a peer's call whose answer is whole: passed on, but for its end, or
-// at hand to go with it. The
-// count is taken in the same step that ends the call's token: a further call
-// that the backend server makes later is refused, so none can escape the count.
+// EndAnswer ends a peer's call whose response is complete: either all of it but
+// the end marker has been passed on, or it is ready to be sent together with
+// the end marker. Attempts is computed in the same step that invalidates the
+// call's token. Child calls that the backend server makes later are refused, so
+// none can escape the count.
 type EndAnswer struct {
 	Call CallID
-	// Load goes to the peer with an answer that was not passed on before.
+	// Load is sent to the peer with a response that has not been passed on yet.
 	Load message.Load
-	// Attempts is how many attempts the call and all below it used.
+	// Attempts is the number of attempts used by the call and everything below
+	// it.
 	Attempts int
-	// Needed is how many it would have used if none had failed.
+	// Needed is the number of attempts that would have been used if none had
+	// failed.
 	Needed int
 }
 
-// CancelAttempt ends a forwarded call that nobody waits for.
+// CancelAttempt cancels a forwarded call whose response nobody waits for.
 type CancelAttempt struct{ Call CallID }
 
-// CancelDispatch ends the upstream's work on a call.
+// CancelDispatch cancels the upstream's work on a call.
 type CancelDispatch struct{ Call CallID }
 
-// Send sends a message to a peer. It may be lost.
+// Send sends a message to a peer. The message may be lost.
 type Send struct {
 	To      coltsfootward.Instance
 	Message message.Message
 }
 
-// ReadTable reads one row and reports TableAnswered.
+// ReadTable reads one row. The driver reports the result as TableAnswered.
 type ReadTable struct {
 	Operation OperationID
 	Key       string
 }
 
-// ScanTable scans rows and reports TableAnswered.
+// ScanTable scans rows. The driver reports the result as TableAnswered.
 type ScanTable struct {
 	Operation OperationID
 	Prefix    string
@@ -94,23 +99,24 @@
 	Limit     int
 }
 
-// TransactTable runs a transaction and reports TableAnswered.
+// TransactTable runs a transaction. The driver reports the result as
+// TableAnswered.
 type TransactTable struct {
 	Operation   OperationID
 	Transaction coltsfootward.Transaction
 }
 
-// ConfigurationInForce says that a whole configuration has come into force.
+// ConfigurationInForce reports that a full configuration has come into force.
 type ConfigurationInForce struct{ Configuration coltsfootward.Configuration }
 
-// CheckBackend asks for a health check of the local backend server. BackendChecked
-// follows if it is answered.
+// CheckBackend requests a health check of the local backend server.
+// BackendChecked follows if the server responds.
 type CheckBackend struct{}
 
-// Report puts a record into the log and onto the time line.
+// Report adds a record to the log and the timeline.
 type Report struct{ Record record.Record }
 
-// Drained says that the node has nothing left to do and may exit.
+// Drained reports that the node has no work left and may exit.
 type Drained struct{}
 
 func (ConfigurationInForce) isAction() {}
--- a/core/node/benchmark_test.go
+++ b/core/node/benchmark_test.go
@@ -8,8 +8,9 @@
 	"coltsfootward/core/node"
 )
 
-// BenchmarkCallThroughNode is one call through the whole core of a node that is
-// entry and upstream at once: arrival, placement, admission, dispatch, answer.
+// BenchmarkCallThroughNode measures one call through the whole core of a node
+// that is both entry node and upstream: arrival, placement, admission,
+// dispatch, response.
 func BenchmarkCallThroughNode(b *testing.B) {
 	s := newSingle(&testing.T{})
 	s.configure(coltsfootward.Rate{PerSecond: 1e9, Burst: 1e9})
--- a/core/node/cold.go
+++ b/core/node/cold.go
@@ -9,60 +9,66 @@
 )
 
 const (
-	// coldStep is by how much the end of a cold time must have moved to be told to
-	// other nodes.
+	// coldPublishThreshold is by how much the end of the cold period must
+	// change before the change is published to other nodes.
 	coldStep = 500 * time.Millisecond
-	// restartFailures is how many requests in a row must have been broken off for
-	// the backend server to be taken for one that has just restarted: a crash breaks
-	// off all that it has in hand.
+	// restartFailures is the number of consecutive requests that must break off
+	// before the backend server is assumed to have restarted: a crash breaks
+	// off all of its requests in flight.
 	restartFailures = 4
-	// coldReturnSpread is how long after the cold time the callers refused meanwhile
-	// come back, on average, so that they do not come all at once.
+	// coldRetryDelay is the mean delay after the end of the cold period with
+	// which refused callers are asked to return, so that they do not all return
+	// at once.
 	coldReturnSpread = 500 * time.Millisecond
-	// checkInterval is how long after a health check what is broken off asks for no
-	// other one.
+	// checkInterval is the time after a health check during which broken-off
+	// requests do not trigger another one.
 	checkInterval = time.Second
 )
 
-// coldPart follows whether the backend server beside the node is cold. It goes by
-// what the server says, and takes it for cold where it may have restarted or come
-// back into service without having said so yet; a health check settles that.
+// coldTracker tracks whether the local backend server is cold. It relies on
+// what the server reports. If the server may have restarted or come back into
+// service and has not reported its state since, it is assumed to be cold until
+// a health check settles that.
 //
-// All its times are by Instant.Monotonic, which is never ahead: a wall clock that
-// steps forward must not end a cold time early.
+// All its times are by Instant.Monotonic, which never runs ahead: a wall clock
+// that steps forward must not end a cold period early.
 type coldPart struct {
 	node *Node
-	// began is when this run of the node began.
+	// startedAt is when the node process started.
 	began  time.Duration
 	starts admissioncontrol.ColdStart
-	// told is until when the server is cold by its own word, assumed until when it
-	// is taken for cold without one.
+	// reportedUntil is the end of the cold period as reported by the server;
+	// assumedUntil is the end of the period for which it is assumed to be cold
+	// without a report.
 	told, assumed time.Duration
-	// published is the end of the cold time that other nodes were told.
+	// publishedUntil is the end of the cold period that was last published to
+	// other nodes.
 	published time.Duration
-	// failures counts the requests in a row that were broken off.
+	// failures counts the consecutive requests that were broken off.
 	failures int
-	// asked is when a health check was asked for last.
+	// lastCheck is when a health check was last requested.
 	asked time.Duration
-	// passed and refused count the requests that a cold server was given, and those
-	// that it was spared.
+	// passed counts the requests that the server was sent while cold; refused
+	// counts those that were refused because it was cold.
 	passed, refused int
 }
 
-// announced takes in the server's own word. A heartbeat that was sent before the
-// server went cold says nothing against the assumption, so it stays.
+// announced processes the cold time that the server reported in a heartbeat.
+// The heartbeat may have been sent before the server went cold, so it does not
+// end an assumed cold period.
 func (p *coldPart) announced(cold time.Duration) {
 	p.told = p.node.now.Monotonic + cold
 	p.set()
 }
 
-// checked takes in the answer to a health check, which is newer than the assumption.
+// checked processes the response to a health check, which is newer than the
+// assumption.
 func (p *coldPart) checked(e BackendChecked) {
 	p.assumed = 0
 	p.announced(e.Cold)
 }
 
-// suspect takes the server for cold until it is checked.
+// assumeCold treats the server as cold until a health check has been answered.
 func (p *coldPart) suspect() {
 	service, _ := p.node.configuration.current.Service(p.node.membership.local.Service)
 	p.failures = 0
@@ -75,7 +81,8 @@
 	p.node.act(CheckBackend{})
 }
 
-// ended takes in how a dispatch ended.
+// dispatchEnded counts consecutive failures and assumes a restart after
+// restartFailures of them.
 func (p *coldPart) ended(kind DispatchKind) {
 	switch kind {
 	case DispatchAnswered, DispatchRejected:
@@ -93,7 +100,8 @@
 // left returns how much longer the server is cold.
 func (p *coldPart) left() time.Duration { return max(p.until()-p.node.now.Monotonic, 0) }
 
-// set tells others if the end of the cold time has moved much.
+// publish informs other nodes if the end of the cold period has changed by at
+// least coldPublishThreshold.
 func (p *coldPart) set() {
 	now := p.node.now.Monotonic
 	moved := (p.until() - p.published).Abs()
@@ -108,8 +116,8 @@
 	p.node.upstream.start()
 }
 
-// refresh takes over the rate in force, and has admission keep what waits for a cold
-// server short.
+// refresh applies the configured rate for cold servers, and limits the queue
+// for the server while it is cold.
 func (p *coldPart) refresh() {
 	service, _ := p.node.configuration.current.Service(p.node.membership.local.Service)
 	p.starts.SetRate(service.ColdRate, p.began)
@@ -120,13 +128,14 @@
 	p.node.upstream.admission.SetCold(false, 0)
 }
 
-// bounded reports whether the server gets few requests now.
+// rateLimited reports whether the server is cold and its rate of requests
+// therefore limited.
 func (p *coldPart) bounded() bool { return p.starts.Bounds() && p.left() > 0 }
 
-// allows reports whether a request may start now.
+// mayStart reports whether a request may be dispatched now.
 func (p *coldPart) allows() bool { return !p.bounded() || p.starts.Wait(p.node.now.Monotonic) == 0 }
 
-// started counts a start.
+// recordStart records that a request was dispatched.
 func (p *coldPart) started() {
 	p.starts.Started(p.node.now.Monotonic)
 	if p.bounded() {
@@ -134,22 +143,23 @@
 	}
 }
 
-// refusal says when a caller that a cold server is spared may come back.
+// withRetryAfter sets the Retry-After of a refusal due to a cold server, and
+// counts the refusal.
 func (p *coldPart) refusal(r coltsfootward.Refusal) coltsfootward.Refusal {
 	p.refused++
 	return r.WithRetryAfter(p.left() + p.node.spread(coldReturnSpread))
 }
 
-// ColdStatus is what a node knows of its backend server's coldness.
+// ColdStatus is the cold state of a node's backend server.
 type ColdStatus struct {
 	// Left is how much longer the server is cold, as far as the node knows.
 	Left time.Duration
-	// Passed counts the requests that it was given while cold, Refused those
-	// refused because it was.
+	// Passed counts the requests that the server was sent while cold; Refused
+	// counts those that were refused because it was cold.
 	Passed, Refused int
 }
 
-// Cold returns the coldness of the local backend server.
+// Cold returns the cold state of the local backend server.
 func (n *Node) Cold() ColdStatus {
 	p := &n.upstream.cold
 	return ColdStatus{Left: p.left(), Passed: p.passed, Refused: p.refused}
--- a/core/node/entry.go
+++ b/core/node/entry.go
@@ -8,89 +8,98 @@
 	"coltsfootward/core/message"
 )
 
-// retryAfterSpread is the longest time that a refused caller is asked to stay
-// away without a better estimate. Answers are spread over it, so that callers
-// refused together do not return together.
+// retryAfterJitter is the width of the range from which spreadRetryAfter chooses
+// a Retry-After at random when there is no better estimate, so that callers that
+// are refused together do not return together.
 const retryAfterSpread = 2 * time.Second
 
-// The bounds of what a caller shed at entry is told, before spreading. In
-// between it is as long as the node has been shedding: an overload that has
-// lasted for a while is likely to last about as long again. The upper bound is
-// short because a refusal at entry costs microseconds, and callers that are
-// asked to stay away longer than they wait are lost.
+// Bounds for the Retry-After of a call that is shed at entry, before jitter.
+// Between them it equals the time for which the node has been shedding: an
+// overload that has lasted for a while is likely to last about as long again.
+// The upper bound is short because a refusal at entry costs microseconds, while
+// callers that are asked to stay away for longer than they are willing to wait
+// give up.
 const (
 	shortestRetryAfter = time.Second
 	longestRetryAfter  = 1500 * time.Millisecond
 )
 
-// entryCall is a request at the node that its caller reached.
+// entryCall is a request on its entry node, the node that received it from the
+// caller.
 type entryCall struct {
 	id      CallID
 	head    message.Call
 	arrived time.Duration
-	// deadline is when the caller's time ends, by Instant.Expiry.
+	// deadline is the caller's deadline, by Instant.Expiry.
 	deadline time.Duration
-	// timeout is how long the request may wait for an answer to begin.
+	// timeout is how long the request may wait for a response to begin.
 	timeout time.Duration
-	// parent is the token of the request being served that made this call.
+	// parent is the token of the request in service that made this child call;
+	// empty for requests of callers.
 	parent CallToken
-	// attempts is how many attempts have been used so far.
+	// attempts is the number of attempts used so far.
 	attempts int
-	// budget is how many attempts may be used in all.
+	// budget is the total number of attempts that may be used.
 	budget int
-	// carried is how many attempts the one under way may use.
+	// allocation is the number of attempts allocated to the attempt in flight
+	// and the child calls below it.
 	carried int
-	// mayRetry is cleared for the repeats of a caller, which retries already.
+	// retryAllowed is false for retries by the caller: retries on both sides
+	// would multiply.
 	mayRetry bool
 	// tried holds the instances that have refused or lost the call.
 	tried map[coltsfootward.InstanceID]bool
-	// target is where the attempt under way went.
+	// target is the destination of the current or latest attempt.
 	target coltsfootward.InstanceID
-	// sent is when it went there, by Instant.Monotonic.
+	// sentAt is when the latest attempt was sent, by Instant.Monotonic.
 	sent time.Duration
-	// running is set while an attempt is under way.
+	// inFlight is set while an attempt is in flight.
 	running bool
-	// doubtful is set once an attempt may have run.
+	// mayHaveRun is set once the execution of an attempt cannot be ruled out.
 	doubtful bool
-	// last is the refusal that the latest attempt ended with; its kind is empty
-	// before that.
+	// lastRefusal is the refusal that ended the latest attempt; its kind is
+	// empty until an attempt has been refused.
 	last coltsfootward.Refusal
-	// answered is set once an answer has begun; from then on nothing is retried.
+	// answered is set once a response has begun. The request is not retried
+	// after that, except to resume a truncated response.
 	answered bool
-	// claim is set while the call holds or asks for a claim on its key.
+	// claim is set while the call holds or requests a claim on its idempotency
+	// key.
 	claim *entryClaim
 	// body is a digest of the request's body.
 	body uint64
-	// admission is what entitles the next attempt to start.
+	// admission entitles the next attempt to start.
 	admission admission
-	// objective is the latency up to which an answer has its full worth; zero
-	// means that there is none.
+	// objective is the latency up to which a response has its full value; zero
+	// means that none is set.
 	objective time.Duration
-	// unmetered requests are on nobody's rate.
+	// rateExempt requests are not charged to any organisation's rate.
 	unmetered bool
-	// metered is set once the request was charged to its organisation's rate; a
-	// routed request is charged once, however often it is attempted.
+	// charged is set once the request has been charged to its organisation's
+	// rate. A routed request is charged once, however often it is attempted.
 	metered bool
-	// ownAttempts is set if budget bounds the backend servers that this request
-	// is sent to, and not the attempts of the whole chain.
+	// routed is set if the request was routed by host and path. For such a
+	// request, budget bounds the number of backend servers that may see it, not
+	// the attempts of the whole call chain.
 	ownAttempts bool
-	// seenBy lists the backend servers that have seen the request, and sends is
-	// how often they have.
+	// seenBy lists the backend servers that have seen the request; sends counts
+	// how often they have seen it.
 	seenBy []coltsfootward.InstanceID
 	sends  int
-	// hops counts the attempts of the request, those that no backend server saw
-	// included.
+	// hops counts all attempts of the request, including those that no backend
+	// server saw.
 	hops int
 }
 
-// entryPart takes requests from callers and from the local backend server and
-// sees each of them to one final answer.
+// entryPart receives requests from callers and from the local backend server
+// and ends each of them with exactly one response or refusal.
 type entryPart struct {
 	node  *Node
 	calls map[CallID]*entryCall
-	// splits holds the turn of each route with several targets.
+	// splitStates holds the weighted round-robin state of each route with
+	// several targets.
 	splits map[coltsfootward.RouteName]*splitState
-	// nextMoved is when to look again which gates have moved.
+	// nextGateReport is when to check again which gates have changed.
 	nextMoved time.Duration
 }
 
@@ -121,7 +130,7 @@
 	p.claimed(call)
 }
 
-// open checks who calls and what, and returns the call to serve.
+// open authenticates and validates a request and returns the call to serve.
 func (p *entryPart) open(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	if e.Routed {
 		return p.openRouted(e)
@@ -146,8 +155,9 @@
 	return call, nil
 }
 
-// openChild opens a call that the local backend server makes while it serves
-// another. Its attempts come out of the parent's.
+// openChild opens a child call: a call that the local backend server makes
+// while it serves another request. Its attempts are taken from the parent's
+// budget.
 func (p *entryPart) openChild(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	parent, ok := p.node.ledger.parent(e.Token)
 	if !ok {
@@ -220,8 +230,8 @@
 }
 
 // shedAtEntry refuses a call that the upstreams would shed, before any work is
-// done for it. Under overload each hop that a doomed request takes is capacity
-// lost to the requests that will be answered.
+// done for it. Under overload, each hop taken by a request that will be shed
+// anyway is capacity lost to the requests that will be answered.
 func (p *entryPart) shedAtEntry(call *entryCall) bool {
 	if call.ownAttempts {
 		return p.refusedAtGate(call)
@@ -235,7 +245,8 @@
 	return true
 }
 
-// claimed goes on once nothing else runs under the call's idempotency key.
+// claimed continues a call once no other request runs under its idempotency
+// key.
 func (p *entryPart) claimed(call *entryCall) {
 	p.attempt(call)
 }
@@ -253,9 +264,9 @@
 	return retryAfterSpread/4 + time.Duration(n.source.Int64N(int64(retryAfterSpread)))
 }
 
-// spread returns a time around d, up to a quarter less or more, so that
-// callers refused together do not return together. A wider spread would ask
-// some back after they have given up.
+// spread applies a jitter of up to a quarter less or more to d, so that callers
+// that are refused together do not return together. With a wider jitter some
+// callers would be asked to return after they have given up.
 func (n *Node) spread(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(n.source.Int64N(int64(max(d/2, 1))))
 }
--- a/core/node/entry_attempt.go
+++ b/core/node/entry_attempt.go
@@ -9,8 +9,8 @@
 	"coltsfootward/core/record"
 )
 
-// attempt asks for what the next attempt needs. Child calls were paid for by
-// the caller's request at the top of the chain.
+// startAttempt obtains an admission for the next attempt. Child calls need
+// none: the caller's request at the top of the chain was charged for them.
 func (p *entryPart) attempt(call *entryCall) {
 	if call.parent != "" || call.unmetered || call.metered {
 		p.admitted(call, admission{})
@@ -19,7 +19,7 @@
 	p.node.rate.acquire(entryWaiter{part: p, call: call})
 }
 
-// admitted starts an attempt that the organisation's rate allows.
+// admitted sends an attempt that the organisation's rate allows.
 func (p *entryPart) admitted(call *entryCall, granted admission) {
 	if !call.metered {
 		call.admission = granted
@@ -51,9 +51,9 @@
 	call.carried = p.node.ledger.carry(call)
 	head.Budget = call.carried
 	head.Timeout = call.deadline - now
-	// A routed request is charged when it is admitted, and may queue for longer
-	// than its token lives: the deployment's bound on the rate leaves room for
-	// what is spent late.
+	// A routed request is charged when it is admitted, and may be queued for
+	// longer than its token's lifetime. The deployment's bound on the rate
+	// leaves room for tokens that are spent late.
 	if !call.ownAttempts {
 		head.StartWithin = granted.remaining(p.node.now)
 		head.Renewable = call.claim == nil && granted.expires != 0
@@ -64,9 +64,10 @@
 	p.node.act(Forward{Call: call.id, To: target, Head: head})
 }
 
-// noTarget returns why there is nowhere to send the call. If servers that were
-// tried have refused it, that is the reason: "no backend server takes work"
-// would send operators looking for servers that run.
+// noTargetRefusal returns why no backend server can be chosen for the call. If
+// servers that were tried have refused it, their refusal is returned: "no
+// backend server takes work" would send operators looking for servers that are
+// in fact running.
 func (p *entryPart) noTarget(call *entryCall) coltsfootward.Refusal {
 	if call.last.Kind != "" {
 		return call.last
@@ -75,7 +76,7 @@
 		WithRetryAfter(p.node.spreadRetryAfter())
 }
 
-// overRate ends a call that the organisation's rate does not allow.
+// refuseOverRate ends a call that exceeds the organisation's rate.
 func (p *entryPart) overRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
 	p.giveUp(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate, "the organisation is above its rate and burst").
 		WithRetryAfter(retryAfter), evidence...)
@@ -119,9 +120,10 @@
 	p.finish(call, refused)
 }
 
-// mayRepeat decides for a routed request. Its attempts bound the backend servers
-// that see it; one of them that has rejected it may be asked again, since a server
-// that rejects at random serves the next try as likely as not.
+// mayRetryRouted decides whether a routed request is attempted again. Its
+// budget bounds the number of backend servers that see it, but a server that
+// has rejected it may be tried again: a server that rejects requests at random
+// is as likely as not to serve the next attempt.
 func (p *entryPart) mayRepeat(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
 	if refused.Final || p.node.now.Expiry >= call.deadline || !repeatable(call, refused) {
 		return false
@@ -136,7 +138,7 @@
 	return p.node.placement.mayRepeat(call)
 }
 
-// target returns where the next attempt goes.
+// chooseTarget returns the destination of the next attempt.
 func (p *entryPart) target(call *entryCall) (coltsfootward.Instance, bool) {
 	if !call.ownAttempts {
 		return p.node.placement.choose(call)
@@ -146,24 +148,24 @@
 	}
 	target, ok := p.node.placement.choose(call)
 	if !ok && len(call.seenBy) > 0 && call.last.Execution == coltsfootward.ExecutionNotRun {
-		// A service of one server has no other to ask.
+		// The service has only one server, so the same one is tried again.
 		return p.node.placement.again(call)
 	}
 	return target, ok
 }
 
-// noteSeen notes that a backend server has seen the call.
+// recordSeen records that a backend server has seen the call.
 func (c *entryCall) noteSeen(id coltsfootward.InstanceID) {
 	if !slices.Contains(c.seenBy, id) {
 		c.seenBy = append(c.seenBy, id)
 	}
 }
 
-// settleAdmission gives back what an attempt did not spend. An attempt that
-// may have started has spent its admission, whatever became of it.
+// settleAdmission returns the admission of an attempt that did not spend it. An
+// attempt that may have started has spent its admission, whatever its outcome.
 func (p *entryPart) settleAdmission(call *entryCall, e AttemptEnded) {
 	if call.ownAttempts {
-		return // charged once; finish gives back what never ran
+		return // charged once; finish releases the admission if nothing ran
 	}
 	spent := e.Kind == AttemptLost || (e.Kind == AttemptRefused && e.Refusal.Execution != coltsfootward.ExecutionNotRun)
 	if !spent {
@@ -172,9 +174,10 @@
 	call.admission = admission{}
 }
 
-// attemptsUsed returns what an ended attempt cost. In doubt all that it carried
-// counts as used: the chain below may still be spending it. A refusal whose end
-// was lost is such a doubt, unless nothing ran.
+// attemptsUsed returns the number of attempts that an ended attempt has used.
+// If that is unknown, its whole allocation counts as used, because the chain
+// below may still be spending it. That includes a refusal whose attempt count
+// was lost, unless nothing ran.
 func attemptsUsed(call *entryCall, e AttemptEnded) int {
 	switch {
 	case e.Kind == AttemptUnsent:
@@ -201,9 +204,10 @@
 }
 
 // mayRetry decides whether another attempt follows. A request whose execution
-// is unknown is attempted again only if it is repeatable. An attempt that no
-// backend server saw costs none of them anything, so another one draws on no
-// allowance, but there are only few, as each is a hop under load.
+// is unknown is retried only if it is repeatable. A retry after an attempt that
+// no backend server saw does not draw on the retry budget of a routed request,
+// as it costs the servers nothing; their number is still limited, because each
+// one is a hop under load.
 func (p *entryPart) mayRetry(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
 	if call.ownAttempts {
 		return p.mayRepeat(call, refused, unseen)
@@ -217,13 +221,15 @@
 	return repeatable(call, refused) && p.node.placement.mayRetry(call.head.Service)
 }
 
-// maximumHops bounds the nodes that a routed request is sent to, whether or not
-// their backend servers saw it. With two choices each time, three full servers
-// in a row mean that most are full.
+// maximumHops is the number of attempts of a routed request, including those
+// that no backend server saw, from which on an attempt that no backend server
+// saw is not followed by another. With two candidates compared each time, three
+// full servers in a row mean that most servers are full.
 const maximumHops = 3
 
-// maximumSends bounds how often backend servers see one routed request. A server
-// that rejects half of what it gets serves 94 in 100 within four.
+// maximumSends bounds how often backend servers see one routed request. Against
+// a server that rejects half of its requests, four attempts succeed in 94 of
+// 100 cases.
 const maximumSends = 4
 
 func repeatable(call *entryCall, refused coltsfootward.Refusal) bool {
--- a/core/node/entry_end.go
+++ b/core/node/entry_end.go
@@ -8,11 +8,12 @@
 	"coltsfootward/core/record"
 )
 
-// giveUp ends a call for which no attempt is under way. What earlier attempts
-// may have done decides what the caller is told about execution.
+// giveUp refuses a call that has no attempt in flight. The outcome of earlier
+// attempts determines the execution status that the caller receives.
 //
-// An admission that no attempt has spent goes back: kept, it would charge the
-// organisation for requests that never ran and refuse later ones inside its rate.
+// An admission that no attempt has spent is released. Otherwise the
+// organisation would be charged for requests that never ran, and later requests
+// within its rate would be refused.
 func (p *entryPart) giveUp(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
 	if !call.running {
 		p.node.rate.release(call.head.Organisation, call.admission)
@@ -21,8 +22,9 @@
 	p.finish(call, r, evidence...)
 }
 
-// finish answers the call with a refusal and forgets it; evidence is what decided it. Once an attempt may
-// have run, a later one that certainly did not makes nothing undone.
+// finish refuses the call and removes it; evidence holds log fields that
+// explain the refusal. Once an attempt may have run, a later attempt that
+// certainly did not run does not change the execution status back to not run.
 func (p *entryPart) finish(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
 	delete(p.calls, call.id)
 	p.callEnded(call, true)
@@ -42,7 +44,8 @@
 	p.refuse(call.id, call.head.Request, r, append(p.evidence(call), evidence...)...)
 }
 
-// replay answers the call with the first request's answer and forgets it.
+// replay answers the call with the response to the first request under its
+// idempotency key, and removes the call.
 func (p *entryPart) replay(call *entryCall, answer *claim.Answer) {
 	delete(p.calls, call.id)
 	if call.parent != "" {
@@ -56,10 +59,11 @@
 	p.node.act(Refuse{Call: id, Refusal: r})
 }
 
-// broken fetches the rest of an answer that broke off by another attempt, if
-// one is left. It waits for its beginning as long as the first: a download may
-// have outlasted the request's own time by far. The upstream is not marked as
-// tried, since it may have been only the connection that broke.
+// broken resumes a truncated response with another attempt, if the budget
+// allows one. The new attempt may wait for its response to begin as long as the
+// first, since a download may have lasted far longer than the request's
+// timeout. The upstream is not marked as tried, because only the connection may
+// have failed.
 func (p *entryPart) broken(e AnswerBroken) {
 	call, ok := p.calls[e.Call]
 	if !ok || !call.answered {
@@ -103,8 +107,8 @@
 	}
 }
 
-// callerLeft cancels everything below a call that nobody waits for. Work for
-// callers that have gone is what keeps an overloaded service from recovering.
+// callerLeft cancels everything below a call whose caller has gone away. Work
+// for callers that are gone keeps an overloaded service from recovering.
 func (p *entryPart) callerLeft(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
@@ -134,7 +138,7 @@
 	}
 }
 
-// tick ends calls whose time has passed while they waited.
+// tick ends calls whose deadline has passed while they waited.
 func (p *entryPart) tick() {
 	p.moveGates()
 	for _, id := range sortedCalls(p.calls) {
@@ -157,7 +161,8 @@
 	p.giveUp(call, r)
 }
 
-// shorter returns the shorter of two times of which zero means no limit.
+// shorterLimit returns the shorter of two durations; a limit of zero means no
+// limit.
 func shorter(limit, other time.Duration) time.Duration {
 	if limit == 0 {
 		return other
--- a/core/node/entry_route.go
+++ b/core/node/entry_route.go
@@ -11,9 +11,10 @@
 	"coltsfootward/core/record"
 )
 
-// openRouted checks who calls and what by the configuration's routes, and
-// returns the call to serve. A node that leaves serves on: its callers and the
-// backend server beside it know no other node, and go on until it is gone.
+// openRouted authenticates a request, chooses its service by the
+// configuration's routes, and returns the call to serve. A draining node still
+// accepts routed requests: its callers and its local backend server know no
+// other node, so it serves until it stops.
 func (p *entryPart) openRouted(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	configuration := p.node.configuration.current
 	if configuration.Revision() == 0 {
@@ -32,12 +33,13 @@
 	return p.buildRouted(e, route, organisation), nil
 }
 
-// configurationReturn is when a caller may come back to a node that has just started:
-// it mostly has its configuration within half a second.
+// unconfiguredRetryAfter is the Retry-After of a node that has just started and
+// has no configuration yet. It usually has one within half a second.
 const configurationReturn = 500 * time.Millisecond
 
-// organisation returns whom a request is for; the zero value if nobody, as for
-// the calls of backend servers.
+// authenticate returns the organisation that a request is charged to. It
+// returns the zero value for requests without an organisation, such as those of
+// backend servers.
 func (p *entryPart) organisation(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
 	if !c.HasOrganisations() {
 		return coltsfootward.Organisation{}, nil
@@ -103,15 +105,18 @@
 	return call
 }
 
-// splitState is how far each target of a route is behind its share.
+// splitState is the state of the smooth weighted round robin over a route's
+// targets.
 type splitState struct {
 	targets []coltsfootward.RouteTarget
 	behind  []int
 }
 
-// split chooses the service of a route's next request by smooth weighted round
-// robin: each node's requests keep the weights exactly, without chance, so the
-// fleet's do too. What a service has no room for is refused and not moved.
+// chooseService returns the service for a route's next request by smooth
+// weighted round robin. The choice is deterministic: each node's requests match
+// the weights exactly, and therefore so do those of the whole deployment. A
+// request that the chosen service has no capacity for is refused, not sent to
+// another service.
 func (p *entryPart) split(route coltsfootward.Route) coltsfootward.ServiceName {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
@@ -148,7 +153,7 @@
 	return true
 }
 
-// forgetRoutes drops what is known of routes that a configuration no longer has.
+// forgetRoutes drops the state of routes that the configuration no longer has.
 func (p *entryPart) forgetRoutes(c coltsfootward.Configuration) {
 	names := make(map[coltsfootward.RouteName]bool)
 	for _, route := range c.Routes() {
@@ -158,13 +163,14 @@
 	p.node.gates.Forget(func(name coltsfootward.RouteName) bool { return names[name] })
 }
 
-// KnownClasses returns how many classes of requests the node knows the needs of.
+// KnownClasses returns the number of request classes whose required services
+// are known to the node.
 func (n *Node) KnownClasses() int { return n.gates.Classes() }
 
-// refusedAtGate refuses a caller's request that a service which it needs, here
-// or further down the chain, has no room for, before any work is done for it. A
-// further call of a request that has begun is never refused so: the work above it
-// would be lost.
+// refuseAtGate refuses a caller's request if a service that it needs, directly
+// or further down the call chain, has no capacity for it. The refusal comes
+// before any work is done for the request. Child calls are never refused here,
+// because the work already done by the requests above them would be lost.
 func (p *entryPart) refusedAtGate(call *entryCall) bool {
 	if call.head.Depth > 0 {
 		return false
@@ -178,30 +184,33 @@
 	return true
 }
 
-// The bounds of what a caller refused at a gate is told.
+// Bounds for the Retry-After of a caller that is refused at a gate, before
+// jitter.
 const (
 	earliestReturn = 100 * time.Millisecond
 	latestReturn   = time.Second
-	// returnPart is the part of the objective after which it may come back.
+	// objectiveDivisor is the number by which the latency objective is divided
+	// to give the Retry-After.
 	returnPart = 3
 )
 
-// returnAfter says when a caller refused at a gate may come back, before
-// spreading. A gate lets a part of the demand pass at any time and moves within a
-// second or two, so the next try is as likely to pass soon as late; soon, its
-// answer may still have its full worth.
+// gateRetryAfter returns when a caller that was refused at a gate may retry,
+// before jitter. A gate always admits part of the demand and adjusts within a
+// second or two, so an early retry is as likely to be admitted as a late one,
+// and its response may still have its full value.
 func returnAfter(objective time.Duration) time.Duration {
 	return min(max(objective/returnPart, earliestReturn), latestReturn)
 }
 
-// callEnded notes how a further call of the local backend server ended.
+// recordChildEnd records how long a child call of the local backend server took
+// and whether it failed.
 func (p *entryPart) callEnded(call *entryCall, failed bool) {
 	if call.ownAttempts && call.head.Depth > 0 {
 		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrived, failed)
 	}
 }
 
-// moveGates sets the gates and tells of those that have moved.
+// updateGates adjusts the gates and reports those that have changed.
 func (p *entryPart) moveGates() {
 	now := p.node.now.Monotonic
 	p.node.placement.withholdCold()
@@ -216,8 +225,8 @@
 	}
 }
 
-// movedInterval is the time between two looks at which gates have moved, so that
-// each is told of at most twice a second.
+// gateReportInterval is the time between two checks for changed gates, so each
+// gate is reported at most twice a second.
 const movedInterval = 500 * time.Millisecond
 
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -8,67 +8,71 @@
 	"coltsfootward/core/message"
 )
 
-// CallID numbers the calls that a node has in hand. The shell gives each call
-// that arrives, from a caller or from a peer, a number of its own.
+// CallID identifies a call that the node is processing. The driver assigns a
+// unique number to each call that arrives from a caller or a peer.
 type CallID uint64
 
-// CallToken lets a backend server make further calls while it serves the
-// request that brought the token.
+// CallToken authorises a backend server to make child calls while it serves the
+// request that came with the token.
 type CallToken string
 
-// Event is something that happened outside the decisions.
+// Event is an input to the state machine.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed. The shell sends one after each Node.NextTick.
+// Tick reports that time has passed. The driver sends it whenever the duration
+// returned by Node.NextTick has passed.
 type Tick struct{}
 
-// RequestArrived says that a caller, or the local backend server, sent a
-// request. Its body has been read whole.
+// RequestArrived reports a request from a caller or from the local backend
+// server. Its body has been read completely.
 type RequestArrived struct {
 	Call CallID
-	// Key is the digest of the caller's key; empty when there was none.
+	// Key is the digest of the caller's key; empty if the request has none.
 	Key coltsfootward.KeyDigest
-	// Token is set for calls from the local backend server.
+	// Token is set for child calls of the local backend server.
 	Token          CallToken
 	Service        coltsfootward.ServiceName
 	Method         string
 	Path           string
 	IdempotencyKey string
-	// Routed is set if Host and Path choose the service, by the configuration's
-	// routes, and Service is left empty.
+	// Routed is set if the configuration's routes choose the service by Host
+	// and Path. Service is empty then.
 	Routed bool
 	Host   string
-	// Request is the caller's own name for the request; empty means that the
-	// node chooses one.
+	// Request is the ID that the caller has given to the request; if it is
+	// empty, the node generates one.
 	Request coltsfootward.RequestID
-	// Body is a digest of the body; it is read for requests with an
-	// idempotency key.
+	// Body is a digest of the body, used for requests with an idempotency key.
 	Body uint64
-	// Attempt is the caller's own count of its repeats; the first is 1.
+	// Attempt is the caller's own attempt number, counted from 1.
 	Attempt int
-	// Timeout is the caller's; zero means that it set none.
+	// Timeout is the timeout that the caller requested; zero means none.
 	Timeout time.Duration
 }
 
-// ConfigurationRead brings a whole configuration that was read from the platform.
+// ConfigurationRead delivers a full configuration that was read from the
+// platform.
 type ConfigurationRead struct{ Configuration coltsfootward.Configuration }
 
-// DomainsRead brings the failure domains that operators have taken out of service,
-// as read from the platform.
+// DomainsRead delivers the failure domains that operators have taken out of
+// service, as read from the platform.
 type DomainsRead struct{ OutOfService coltsfootward.OutOfService }
 
-// BackendLost says that nothing listens at the local backend server's address.
+// BackendLost reports that nothing listens at the local backend server's
+// address.
 type BackendLost struct{}
 
-// CallerLeft says that nobody waits for the call's answer any more.
+// CallerLeft reports that the caller has gone away, so that nobody waits for
+// the response any more.
 type CallerLeft struct{ Call CallID }
 
-// AttemptKind says how an attempt ended as the entry node sees it.
+// AttemptKind is the outcome of an attempt as seen by the entry node.
 type AttemptKind string
 
-// How an attempt ended.
+// The outcomes of an attempt.
 const (
-	// AttemptAnswered means that a backend server's answer has begun to arrive.
+	// AttemptAnswered means that a backend server's response has begun to
+	// arrive.
 	AttemptAnswered AttemptKind = "answered"
 	// AttemptRefused means that the upstream's node sent a refusal.
 	AttemptRefused AttemptKind = "refused"
@@ -78,91 +82,97 @@
 	AttemptLost AttemptKind = "lost"
 )
 
-// AttemptEnded reports the end of the attempt that a Forward began.
+// AttemptEnded reports the outcome of the attempt that a Forward started.
 type AttemptEnded struct {
 	Call    CallID
 	Kind    AttemptKind
 	Refusal coltsfootward.Refusal
 	Load    message.Load
-	// Status is the backend server's, for an answered attempt.
+	// Status is the backend server's HTTP status, for an answered attempt.
 	Status int
-	// Attempts is how many attempts the upstream's side used, for a refused
-	// one; negative means that it is unknown.
+	// Attempts is the number of attempts that the upstream's side used, for a
+	// refused attempt; negative means unknown.
 	Attempts int
 }
 
-// AnswerBroken says that an answer broke off after part of its body had reached
-// the caller, and that the rest could be fetched by another attempt. Forward or
-// Refuse follows.
+// AnswerBroken reports that a response was truncated after part of its body had
+// reached the caller, and that another attempt could fetch the rest. The node
+// responds with Forward or Refuse.
 type AnswerBroken struct{ Call CallID }
 
-// CallDone says that the entry call's answer has been delivered or given up.
+// CallDone reports that the response to an entry call has been delivered or
+// given up.
 type CallDone struct {
 	Call CallID
-	// Attempts is how many attempts the upstream's side used; negative means
-	// that it is unknown, so that the whole slice counts as used.
+	// Attempts is the number of attempts that the upstream's side used.
+	// Negative means unknown; the whole allocation then counts as used.
 	Attempts int
-	// Needed is how many it would have used if none had failed.
+	// Needed is the number of attempts that would have been used if none had
+	// failed.
 	Needed int
-	// Whole is set when the complete answer reached the caller.
+	// Whole is set if the complete response reached the caller.
 	Whole bool
-	// Answer is the whole answer of a request with an idempotency key, if its
-	// body is at most MaximumKeptAnswer long; it is kept for repeats.
+	// Answer is the complete response to a request with an idempotency key, if
+	// its body is not longer than MaximumKeptAnswer. It is retained for
+	// repeated requests.
 	Answer *claim.Answer
 }
 
-// PeerCallArrived says that an entry node sent a call for the local upstream.
+// PeerCallArrived reports a call that an entry node sent for the local
+// upstream.
 type PeerCallArrived struct {
 	Call CallID
 	From coltsfootward.InstanceID
 	Head message.Call
-	// Age is an upper bound of the time since the sender sent it.
+	// Age is an upper bound on the time since the call was sent.
 	Age time.Duration
 }
 
-// DispatchKind says how a dispatch to the local upstream ended.
+// DispatchKind is the outcome of a dispatch to the local upstream.
 type DispatchKind string
 
-// How a dispatch ended.
+// The outcomes of a dispatch.
 const (
-	// DispatchAnswered means that the whole answer was passed on, or is at hand.
+	// DispatchAnswered means that the complete response was passed on or is
+	// available.
 	DispatchAnswered DispatchKind = "answered"
 	// DispatchUnsent means that no byte of the request reached the upstream.
 	DispatchUnsent DispatchKind = "unsent"
-	// DispatchRejected means that the upstream answered that it did not run the
-	// request.
+	// DispatchRejected means that the upstream responded that it did not run
+	// the request.
 	DispatchRejected DispatchKind = "rejected"
-	// DispatchFailed means that the upstream broke off after bytes may have reached it.
+	// DispatchFailed means that the upstream broke off after bytes may have
+	// reached it.
 	DispatchFailed DispatchKind = "failed"
-	// DispatchTruncated means that the answer broke off after it had begun; the
-	// peer has been told.
+	// DispatchTruncated means that the response broke off after it had begun.
+	// The peer has been notified.
 	DispatchTruncated DispatchKind = "truncated"
-	// DispatchCancelled means that nobody waited for it any more.
+	// DispatchCancelled means that nobody waited for the response any more.
 	DispatchCancelled DispatchKind = "cancelled"
-	// DispatchTimeout means that the deadline passed while it ran.
+	// DispatchTimeout means that the deadline passed while the request ran.
 	DispatchTimeout DispatchKind = "timeout"
 )
 
-// DispatchEnded reports the end of what a Dispatch began.
+// DispatchEnded reports the outcome of a Dispatch.
 type DispatchEnded struct {
 	Call CallID
 	Kind DispatchKind
-	// Failed is set if the upstream's answer says that it failed.
+	// Failed is set if the upstream's response reports a failure.
 	Failed bool
 }
 
-// MessageArrived brings a peer's message.
+// MessageArrived delivers a message from a peer.
 type MessageArrived struct {
 	From    coltsfootward.InstanceID
 	Message message.Message
-	// Age is an upper bound of the time since the sender sent it.
+	// Age is an upper bound on the time since the message was sent.
 	Age time.Duration
 }
 
-// PeerLost says that the connection to a peer broke.
+// PeerLost reports that the connection to a peer broke.
 type PeerLost struct{ Instance coltsfootward.InstanceID }
 
-// BackendAnnounced says that the local backend server announced itself.
+// BackendAnnounced reports an announcement by the local backend server.
 type BackendAnnounced struct {
 	Service  coltsfootward.ServiceName
 	Slots    int
@@ -171,21 +181,21 @@
 	Cold time.Duration
 }
 
-// BackendChecked brings what the local backend server answered to the health check
-// that CheckBackend asked for.
+// BackendChecked reports the local backend server's response to the health
+// check that CheckBackend requested.
 type BackendChecked struct {
 	// Cold is how much longer the backend server is cold.
 	Cold time.Duration
 }
 
-// DrainRequested says that the node is to stop: it takes no new work.
+// DrainRequested asks the node to stop: it accepts no new work from then on.
 type DrainRequested struct{}
 
-// FinishRequested says that callers have been let go: a node that drains may
-// end as soon as nothing is in hand.
+// FinishRequested reports that callers have been disconnected: a draining node
+// may stop as soon as no call is left.
 type FinishRequested struct{}
 
-// TableAnswered brings the outcome of a table operation.
+// TableAnswered reports the outcome of a table operation.
 type TableAnswered struct {
 	Operation OperationID
 	Rows      []coltsfootward.Row
--- a/core/node/evidence.go
+++ b/core/node/evidence.go
@@ -9,8 +9,8 @@
 	"coltsfootward/core/record"
 )
 
-// What decided a refusal is reported with it, so that an operator can tell its
-// cause from the log alone.
+// The fields that explain a refusal are logged with it, so that operators can
+// determine its cause from the log alone.
 
 func refusalFields(request coltsfootward.RequestID, r coltsfootward.Refusal) []record.Field {
 	return []record.Field{
@@ -19,7 +19,8 @@
 	}
 }
 
-// evidence says what an entry node knows of a call that it ends.
+// evidence returns the log fields with the state of a call on its entry node
+// when the call ends.
 func (p *entryPart) evidence(call *entryCall) []record.Field {
 	fields := []record.Field{
 		field("service", string(call.head.Service)),
@@ -38,8 +39,9 @@
 	return fields
 }
 
-// evidence says by what an organisation's rate was spent: rate and burst in force
-// and, for each part, who holds it, what was left there, and how old that is.
+// evidence returns the log fields that show how an organisation's rate was used
+// up: the rate and burst in force and, for each part, its holder, the tokens
+// left there, and the age of that information.
 func (p *ratePart) evidence(a *account) []record.Field {
 	var parts []string
 	for i, part := range a.share.Current() {
@@ -74,7 +76,9 @@
 	return text
 }
 
-// gateEvidence says how far a gate was closed and who wanted it so.
+// gateEvidence returns the log fields that show how far the gate of a service
+// was closed, the excess load reported for the service, and the age of that
+// report.
 func (p *entryPart) gateEvidence(call *entryCall, service coltsfootward.ServiceName) []record.Field {
 	state := p.node.gates.State(p.node.now.Monotonic, service)
 	fields := []record.Field{
@@ -88,7 +92,7 @@
 	return coldField(fields, p.node.placement.coldReturn(service))
 }
 
-// coldField adds how much longer servers are cold, if they are.
+// coldField appends how much longer servers are cold, if any are.
 func coldField(fields []record.Field, left time.Duration) []record.Field {
 	if left <= 0 {
 		return fields
@@ -96,7 +100,8 @@
 	return append(fields, field("cold", short(left)))
 }
 
-// targetEvidence says why no backend server of the call's service could be chosen.
+// targetEvidence returns the log fields that show why no backend server of the
+// call's service could be chosen.
 func (p *entryPart) targetEvidence(call *entryCall) []record.Field {
 	census := p.node.placement.service(call.head.Service).pool.Census(p.node.now.Monotonic, call.tried)
 	fields := []record.Field{
@@ -112,7 +117,7 @@
 	return fields
 }
 
-// names returns failure domains in one text.
+// joinDomains returns the names of failure domains as one text.
 func names(domains []coltsfootward.FailureDomain) string {
 	var all []string
 	for _, domain := range domains {
@@ -121,7 +126,8 @@
 	return strings.Join(all, ", ")
 }
 
-// evidence says how full the backend server was when a call for it was refused.
+// evidence returns the log fields that show the load of the backend server when
+// a call for it was refused.
 func (p *upstreamPart) evidence(call *upstreamCall) []record.Field {
 	fields := []record.Field{
 		field("service", string(call.head.Service)),
@@ -139,7 +145,7 @@
 	return coldField(fields, p.coldLeft())
 }
 
-// shortest is the precision of the times in evidence.
+// durationPrecision is the precision of durations in evidence fields.
 const shortest = 100 * time.Microsecond
 
 func short(d time.Duration) string { return d.Round(shortest).String() }
--- a/core/node/ledger.go
+++ b/core/node/ledger.go
@@ -5,9 +5,10 @@
 	"coltsfootward/core/attempt"
 )
 
-// ledgerPart holds the attempts that each request in service may still use. It
-// sits beside the backend server that makes the further calls, so the bound on
-// the chain's attempts needs no state shared between nodes.
+// ledgerPart keeps track of the attempts that each request in service may still
+// use. It runs on the same node as the backend server that makes the child
+// calls, so the bound on the attempts of the whole chain needs no state shared
+// between nodes.
 type ledgerPart struct {
 	node     *Node
 	requests map[CallToken]*upstreamCall
@@ -20,7 +21,7 @@
 
 func (p *ledgerPart) open(call *upstreamCall) { p.requests[call.token] = call }
 
-// close ends the time in which the token is good for further calls.
+// close invalidates the call's token for further child calls.
 func (p *ledgerPart) close(call *upstreamCall) {
 	delete(p.requests, call.token)
 	p.forecast.Ended(call.escrow)
@@ -32,14 +33,15 @@
 	return call, ok
 }
 
-// slice takes up to want attempts out of the parent's remainder.
+// allocate takes up to want attempts from the parent's remaining attempts for a
+// child call.
 func (p *ledgerPart) slice(parent *upstreamCall, service coltsfootward.ServiceName, want int) int {
 	return parent.escrow.Take(service, want, &p.forecast)
 }
 
-// topUp moves attempts from the parent to a child that failed, so that it has
-// what another attempt needs. Both are in hand of this node, so no message is
-// needed and the sum stays exact.
+// topUp moves attempts from the parent to a child call that failed, up to the
+// number that another attempt needs. Both are processed by this node, so no
+// message is needed and the total stays exact.
 func (p *ledgerPart) topUp(child *entryCall) {
 	missing := p.forecast.Need(child.head.Service) - (child.budget - child.attempts)
 	parent, ok := p.requests[child.parent]
@@ -49,8 +51,9 @@
 	child.budget += parent.escrow.TopUp(missing, &p.forecast)
 }
 
-// carry returns how many of the call's attempts the next one takes along. Only
-// entry nodes reserve: at every layer the reserves would add up to all there is.
+// nextAllocation returns how many of the call's attempts are allocated to its
+// next attempt. Only entry nodes keep a reserve: if every layer did, the
+// reserves would add up to the whole budget.
 func (p *ledgerPart) carry(call *entryCall) int {
 	if call.ownAttempts {
 		return 1
@@ -62,14 +65,15 @@
 	return p.forecast.Carry(call.head.Service, left)
 }
 
-// enough reports whether the call's own attempts allow one more. An attempt
-// that begins with less than the service needs fails deeper down, after work
-// has been spent on it.
+// hasEnough reports whether the call has enough attempts left for another try.
+// An attempt sent with fewer than the service needs would fail deeper in the
+// chain, after work has been spent on it.
 func (p *ledgerPart) enough(call *entryCall) bool {
 	return call.budget-call.attempts >= p.forecast.Need(call.head.Service)
 }
 
-// answered learns from a call whose whole answer arrived.
+// recordNeed updates the forecast from a call whose complete response
+// arrived.
 func (p *ledgerPart) answered(call *entryCall, needed int) {
 	p.forecast.Answered(call.head.Service, needed)
 	if parent, ok := p.requests[call.parent]; ok {
@@ -77,8 +81,8 @@
 	}
 }
 
-// giveBack returns what a child did not use. After the parent has ended there
-// is nobody left to use it.
+// release returns the unused attempts of a child call to its parent. If the
+// parent has already ended, nothing can use them any more.
 func (p *ledgerPart) giveBack(token CallToken, unused int) {
 	if call, ok := p.requests[token]; ok {
 		call.escrow.GiveBack(unused)
--- a/core/node/overload_test.go
+++ b/core/node/overload_test.go
@@ -9,7 +9,8 @@
 	"coltsfootward/core/node"
 )
 
-// newServing returns a node whose backend server of the service quotes has one slot.
+// newNodeWithBackend returns a node whose backend server of the service quotes
+// has one slot.
 func newServing(t *testing.T) *single {
 	s := newSingle(t)
 	s.configure(coltsfootward.Rate{PerSecond: 1000, Burst: 1000})
@@ -17,7 +18,7 @@
 	return s
 }
 
-// arrive brings a call of a peer and returns what the node does.
+// arrive delivers a call from a peer and returns the node's actions.
 func (s *single) arrive(call node.CallID, priority coltsfootward.Priority) []node.Action {
 	return s.handle(node.PeerCallArrived{Call: call, Head: message.Call{
 		Request: "r", Organisation: "traders", Service: "quotes", Method: "GET", Path: "/",
@@ -25,7 +26,7 @@
 	}})
 }
 
-// dispatched returns the calls that the actions dispatch.
+// dispatchedCalls returns the calls that the actions dispatch.
 func dispatched(actions []node.Action) []node.CallID {
 	var calls []node.CallID
 	for _, action := range actions {
@@ -47,9 +48,10 @@
 	return all
 }
 
-// Callers time out and leave while the backend server works for them and others
-// wait. If their work went on, the server would be busy with answers for nobody
-// just when it is short of slots, and the next ones would time out as well.
+// Guards against wasted work for callers that time out and go away while other
+// calls wait. If the backend server went on with that work, it would be busy
+// with responses that nobody reads just when it is short of slots, and the next
+// callers would time out as well.
 func TestSlotOfALeavingCallerIsFreeAtOnce(t *testing.T) {
 	s := newServing(t)
 	if got := dispatched(s.arrive(1, coltsfootward.PriorityNormal)); len(got) != 1 {
@@ -59,7 +61,7 @@
 	s.arrive(3, coltsfootward.PriorityNormal)
 	left := refusals(s.handle(node.CallerLeft{Call: 2}))
 	if len(left) != 1 || left[0].Refusal.Execution != coltsfootward.ExecutionNotRun {
-		t.Errorf("got %+v for a caller that left the queue, want one refusal that says not run", left)
+		t.Errorf("got refusals %+v for a cancelled call in the queue, want one with execution not_run", left)
 	}
 	s.handle(node.CallerLeft{Call: 1})
 	got := dispatched(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchCancelled}))
@@ -68,8 +70,8 @@
 	}
 }
 
-// The server is busy. What waited longest is of low priority, and the critical
-// request that came last goes first.
+// The server is busy. The call that has waited longest has low priority; the
+// critical one that arrived last must be dispatched first.
 func TestImportantCallGoesFirst(t *testing.T) {
 	s := newServing(t)
 	s.arrive(1, coltsfootward.PriorityNormal)
@@ -81,9 +83,10 @@
 	}
 }
 
-// A backend server breaks off because its own further call was refused. Had
-// the layer above retried too, each layer would multiply the attempts of the
-// one below, on the deepest service, which is the overloaded one.
+// A backend server breaks off a request because its own child call was refused.
+// If the layer above retried too, each layer would multiply the attempts of the
+// one below, and the load would hit the deepest service, which is the
+// overloaded one.
 func TestRefusalOfAFurtherCallIsFinal(t *testing.T) {
 	s := newServing(t)
 	s.handle(node.MessageArrived{Message: &message.ConfigurationChanges{Changes: []coltsfootward.Change{
@@ -97,16 +100,17 @@
 	}
 	child := refusals(s.handle(node.RequestArrived{Call: 2, Token: token, Service: "archive", Method: "GET", Path: "/", Attempt: 1}))
 	if len(child) != 1 {
-		t.Fatalf("got %d refusals of the further call, want 1", len(child))
+		t.Fatalf("got %d refusals of the child call, want 1", len(child))
 	}
 	parent := refusals(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchFailed}))
 	if len(parent) != 1 || !parent[0].Refusal.Final || parent[0].Refusal.Execution != coltsfootward.ExecutionUnknown {
-		t.Errorf("got %+v, want one final refusal that says unknown", parent)
+		t.Errorf("got %+v, want one final refusal with execution unknown", parent)
 	}
 }
 
-// Every attempt at a service is refused as overloaded. Retries must stop after
-// what was saved up: the service gets the callers' requests and no more.
+// Every attempt at a service is refused as overloaded. Retries must stop once
+// the retry allowance is used up; after that, the service gets the callers'
+// requests and no more.
 func TestRetriesStopWhenAServiceRefusesEverything(t *testing.T) {
 	s := newSingle(t)
 	s.configure(coltsfootward.Rate{PerSecond: 10000, Burst: 10000})
@@ -122,7 +126,7 @@
 				Refusal: coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "busy")})
 		}
 		if got := refusals(actions); len(got) != 1 {
-			t.Fatalf("got %d refusals of request %d, want 1 at once", len(got), call)
+			t.Fatalf("got %d refusals of request %d, want 1 in the same step", len(got), call)
 		}
 	}
 	if attempts <= 200 || attempts > 200+25 {
@@ -130,7 +134,7 @@
 	}
 }
 
-// meet lets the node hear of another one with a backend server of quotes.
+// addPeer announces another node with a backend server of quotes to the node.
 func (s *single) meet(id coltsfootward.InstanceID) {
 	s.handle(node.MessageArrived{From: id, Message: &message.Gossip{News: []message.News{{
 		Announcement: message.Announcement{
--- a/core/node/placement.go
+++ b/core/node/placement.go
@@ -10,28 +10,30 @@
 	"coltsfootward/core/retry"
 )
 
-// placementPart chooses the upstream for each attempt and says how much a
-// service may be retried.
+// placementPart chooses the upstream for each attempt and bounds the retries of
+// each service.
 type placementPart struct {
 	node *Node
-	// started is when the node began, by Instant.Monotonic.
+	// started is when the node started, by Instant.Monotonic.
 	started time.Duration
 	pools   map[coltsfootward.ServiceName]*servicePool
-	// services tells which pool an instance is in.
+	// serviceOf maps each instance to the service whose pool it belongs to.
 	services map[coltsfootward.InstanceID]coltsfootward.ServiceName
 }
 
-// servicePool is what the node knows of one service.
+// servicePool is the state that the node keeps for one service.
 type servicePool struct {
 	pool    *placement.Pool
 	retries retry.Allowance
-	// budget takes the place of retries in a routed deployment.
+	// budget replaces retries in a routed deployment.
 	budget retry.Budget
-	// shedding is when shedding at entry began, shed when it last happened.
+	// shedSince is when the current period of shedding at entry began; lastShed
+	// is when a request was last shed.
 	shedding, shed time.Duration
 }
 
-// settling is how long a new node takes servers that it hears of for old ones.
+// startupGrace is the time after its start during which a node treats other
+// servers that it discovers as warm.
 const settling = 5 * time.Second
 
 func newPlacementPart(n *Node) *placementPart {
@@ -52,14 +54,15 @@
 	return s
 }
 
-// reachable reports whether a failure domain's backend servers may be given work.
+// reachable reports whether the backend servers of a failure domain may be sent
+// requests.
 func (p *placementPart) reachable(domain coltsfootward.FailureDomain) bool {
 	return !p.node.domains.current.Has(domain) && p.node.membership.machine.Reachable(domain)
 }
 
-// changed takes in news of a member. A backend server that is new, or whose
-// node runs anew, starts cold. A node that has just started itself hears of
-// everybody for the first time; that does not make the others cold.
+// changed processes a change of a member. A backend server that is new, or
+// whose node has restarted, starts cold. A node that has just started discovers
+// all members for the first time, which does not make the others cold.
 func (p *placementPart) changed(old, news message.News) {
 	a, before := news.Announcement, old.Announcement
 	id := a.Instance.ID
@@ -77,8 +80,8 @@
 	p.services[id] = a.Service
 	pool := p.service(a.Service).pool
 	if p.node.options.Routed {
-		// The backend server says itself how long it is still cold, so that one
-		// whose node alone has restarted keeps its share.
+		// The backend server itself reports how much longer it is cold, so a
+		// server keeps its share if only its node has restarted.
 		pool.SetCold(now, a.Instance, a.Slots, a.Cold)
 	} else {
 		pool.Set(now, a.Instance, a.Slots, restarted || joined)
@@ -91,13 +94,14 @@
 	return p.service(call.head.Service).pool.Choose(p.node.now.Monotonic, p.node.source, call.tried)
 }
 
-// sent says that the call's attempt is on its way.
+// attemptSent records that the call's attempt was sent.
 func (p *placementPart) sent(call *entryCall) {
 	call.sent = p.node.now.Monotonic
 	p.service(call.head.Service).pool.Sent(call.target)
 }
 
-// left says that the call's attempt was cancelled.
+// attemptCancelled records that the call's attempt was cancelled; timeout is
+// set if the deadline had passed.
 func (p *placementPart) left(call *entryCall, timeout bool) {
 	outcome := placement.OutcomeLeft
 	if timeout {
@@ -129,8 +133,8 @@
 	}
 }
 
-// report has the gates take in what an answer told of the services that the
-// request needed.
+// reportPressure passes the load of the services that the request needed, as
+// reported with the response, to the admission gates.
 func (p *placementPart) report(call *entryCall, load message.Load) {
 	if call.head.Route == "" {
 		return
@@ -146,13 +150,14 @@
 	return placement.Kind{Organisation: call.head.Organisation, Class: classOf(call.head)}
 }
 
-// mayRetry reports whether the service's allowance has room for one more
-// attempt, and counts it if so.
+// takeRetry reports whether the service's retry allowance permits one more
+// attempt, and counts the attempt if so.
 func (p *placementPart) mayRetry(service coltsfootward.ServiceName) bool {
 	return p.service(service).retries.Take(p.node.now.Monotonic)
 }
 
-// requested counts a routed request's first attempt towards what may be repeated.
+// countRequest counts the first attempt of a routed request, from which the
+// retry budget is derived.
 func (p *placementPart) requested(call *entryCall) {
 	s := p.service(call.head.Service)
 	s.budget.Share = p.node.options.RetryShare
@@ -160,8 +165,8 @@
 	s.budget.Requested(p.node.now.Monotonic, call.head.Repeat)
 }
 
-// mayRepeat reports whether a routed request may be sent once more, and counts
-// that if so.
+// takeRoutedRetry reports whether the retry budget permits another attempt of a
+// routed request, and counts the attempt if so.
 func (p *placementPart) mayRepeat(call *entryCall) bool {
 	return p.service(call.head.Service).budget.Take(p.node.now.Monotonic, p.retryKind(call))
 }
@@ -180,12 +185,12 @@
 	}
 }
 
-// again returns a backend server that has seen the call and rejected it.
+// seenServer returns a backend server that has seen the call and rejected it.
 func (p *placementPart) again(call *entryCall) (coltsfootward.Instance, bool) {
 	return p.service(call.head.Service).pool.Instance(call.seenBy[0])
 }
 
-// shed reports whether every upstream of the service sheds the call.
+// sheds reports whether every upstream of the service sheds the call.
 func (p *placementPart) shed(call *entryCall) bool {
 	now := p.node.now.Monotonic
 	s := p.service(call.head.Service)
@@ -199,7 +204,8 @@
 	return true
 }
 
-// shedFor is how long the node has been shedding the service's requests.
+// shedDuration returns how long the node has been shedding the service's
+// requests.
 func (p *placementPart) shedFor(service coltsfootward.ServiceName) time.Duration {
 	return p.node.now.Monotonic - p.service(service).shedding
 }
@@ -214,13 +220,15 @@
 	}
 }
 
-// coldDemand is the highest demand for a service, in multiples of what its servers
-// serve when they are warm, that is to pass as long as its warm part has room for it.
+// coldAdmitFactor sets the fraction of a service's demand that is admitted
+// while servers are cold, as a multiple of the warm fraction of its slots. At
+// 2, nothing is withheld as long as half of the slots are warm.
 const coldDemand = 2.0
 
-// withholdCold closes the gates of services whose servers are mostly cold, as after
-// a loss of power of all. What passes is what the warm part has room for and the
-// cold ones bear; the rest is refused before any work is done for it.
+// withholdForCold closes the gates of services whose servers are mostly cold,
+// as after a power failure that hits all of them. The requests admitted are
+// those that the warm servers have capacity for and the few that cold ones can
+// handle; the rest is refused before any work is done for it.
 func (p *placementPart) withholdCold() {
 	for name, s := range p.pools {
 		service, _ := p.node.configuration.current.Service(name)
@@ -230,8 +238,9 @@
 	}
 }
 
-// withheldByCold returns the part of the demand for a service that its cold servers
-// leave no room for, and how long that lasts.
+// coldShortfall returns the fraction of the demand for a service that is
+// withheld because its servers are cold, and the time until all of them are
+// warm.
 func (p *placementPart) withheldByCold(s *servicePool) (part float64, wait time.Duration) {
 	warm, wait := s.pool.Warmth(p.node.now.Monotonic)
 	if wait == 0 || coldDemand*warm >= 1 {
@@ -240,8 +249,8 @@
 	return 1 - coldDemand*warm, wait
 }
 
-// coldReturn returns how long the cold time of a service lasts that has no room for
-// a request because of it, else zero.
+// coldRetryAfter returns how much longer a service refuses requests because its
+// servers are cold; zero if it does not.
 func (p *placementPart) coldReturn(service coltsfootward.ServiceName) time.Duration {
 	_, wait := p.withheldByCold(p.service(service))
 	return wait
--- a/core/node/renewal.go
+++ b/core/node/renewal.go
@@ -7,8 +7,9 @@
 	admissioncontrol "coltsfootward/core/admission"
 )
 
-// lastStart is when the call can no longer be dispatched, by Instant.Expiry;
-// zero means never. What a renewable call needs is drawn anew.
+// startDeadline returns the time after which the call can no longer be
+// dispatched, by Instant.Expiry; zero means that there is none. A renewable
+// call has none, because a new token is drawn for it.
 func (c *upstreamCall) lastStart() time.Duration {
 	if c.head.Renewable {
 		return 0
@@ -16,15 +17,16 @@
 	return c.startBy
 }
 
-// renew draws a token for a call that has waited for longer than the one it
-// came with lasts. The call keeps its slot meanwhile: a draw takes a round trip
-// at most, and giving the slot to the next one would only move the wait there.
+// renew draws a new token for a call that has waited longer than the lifetime
+// of its first one. The call keeps its slot meanwhile: a draw takes one round
+// trip at most, and if the slot went to the next call, that one would have to
+// wait in turn.
 func (p *upstreamPart) renew(call *upstreamCall) {
 	call.renewing = true
 	p.node.rate.acquire(upstreamWaiter{part: p, call: call})
 }
 
-// renewed dispatches a call with its new admission.
+// admissionRenewed dispatches a call with its new admission.
 func (p *upstreamPart) renewed(call *upstreamCall, granted admission) {
 	call.renewing = false
 	call.startBy = granted.expires
@@ -35,14 +37,15 @@
 	p.dispatch(call)
 }
 
-// notRenewed refuses a call that the organisation's rate no longer allows.
+// renewalRefused refuses a call that the organisation's rate no longer allows.
 func (p *upstreamPart) notRenewed(call *upstreamCall, retryAfter time.Duration) {
 	call.renewing = false
 	p.unstarted(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate,
 		"the organisation was above its rate and burst when the request's turn came").WithRetryAfter(retryAfter))
 }
 
-// unstarted frees the slot of a call that did not begin after all.
+// refuseUnstarted refuses a call that held a slot but was not dispatched, and
+// frees the slot.
 func (p *upstreamPart) unstarted(call *upstreamCall, r coltsfootward.Refusal) {
 	p.admission.Unsent(admissioncontrol.RequestID(call.id))
 	p.refuse(call, r)
--- a/core/node/shed_rank.go
+++ b/core/node/shed_rank.go
@@ -6,41 +6,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shedHashBits is how many bits of a shed rank come from the request's hash.
+// shedHashBits is the number of bits of a shed rank that come from the
+// request's hash.
 const shedHashBits = 28
 
-// ShedRank orders requests for shedding: priority first, then a hash of
+// ShedRank orders requests for shedding: by priority first, then by a hash of
 // organisation and request. All calls of a request carry the same rank, so
-// every depth of the chain sheds the same requests and work already done for
-// the others is not lost.
+// every level of the call chain sheds the same requests, and the work already
+// done for the other requests is not lost.
 func ShedRank(priority coltsfootward.Priority, organisation coltsfootward.OrganisationName, request coltsfootward.RequestID) uint32 {
 	return uint32(priority.Rank())<<shedHashBits | requestHash(organisation, request, shedHashBits)
 }
 
-// requestHash returns a hash of so many bits.
+// requestHash returns a hash of the organisation and the request with the given
+// number of bits.
 func requestHash(organisation coltsfootward.OrganisationName, request coltsfootward.RequestID, bits int) uint32 {
 	return uint32(xxhash.Sum64String(string(organisation)+"\x00"+string(request)) >> (64 - bits))
 }
 
-// secondShift is where the second priority stands in a routed request's rank.
+// secondaryShift is the bit position of the secondary priority in a routed
+// request's rank.
 const secondShift = 26
 
-// RoutedRank orders the requests of a routed deployment: by the organisation's
-// priority, where it has one, then by the route's, then by a hash. With the same
-// priority for all organisations the route's decides.
+// RoutedRank orders the requests of a routed deployment for shedding: by the
+// organisation's priority, if it has one, then by the route's priority, then by
+// a hash. If all organisations have the same priority, the route's decides.
 func RoutedRank(priority, second coltsfootward.Priority, organisation coltsfootward.OrganisationName, request coltsfootward.RequestID) uint32 {
 	return uint32(priority.Rank())<<shedHashBits | uint32(second.Rank())<<secondShift | requestHash(organisation, request, secondShift)
 }
 
-// agingLimit bounds how many repeats move a request up.
+// agingLimit bounds the number of retries that improve a request's rank.
 const agingLimit = 3
 
-// agedRank moves a caller's repeat up within its priority: each repeat halves
-// its distance to the front. Under a long overload chance alone would refuse
-// some requests every time, and their callers give up after a few tries while
-// others succeed at once. A caller that overstates its repeats gets ahead of
-// its own organisation's requests only, since turns between organisations do
-// not depend on the rank.
+// agedRank improves the rank of a caller's retry within its priority: each
+// retry halves its distance to the front. Without this, chance alone would
+// refuse some requests every time under a long overload, and their callers
+// would give up after a few tries while others succeed at once. A caller that
+// overstates its number of retries only gets ahead of requests of its own
+// organisation, because turns between organisations do not depend on the rank.
 func agedRank(rank uint32, attempt int) uint32 {
 	class := rank &^ (1<<shedHashBits - 1)
 	hash := rank & (1<<shedHashBits - 1)
--- a/core/node/token_waiter.go
+++ b/core/node/token_waiter.go
@@ -7,17 +7,17 @@
 	"coltsfootward/core/record"
 )
 
-// tokenWaiter needs a token of an organisation's rate.
+// tokenWaiter waits for a token of an organisation's rate.
 type tokenWaiter interface {
 	organisation() coltsfootward.OrganisationName
-	// waits reports whether the token is still needed: a caller may have left,
-	// or its time may have run out, since it was asked for.
+	// waits reports whether the token is still needed: since the token was
+	// requested, the caller may have gone away or its deadline may have passed.
 	waits() bool
 	admitted(granted admission)
 	overRate(retryAfter time.Duration, evidence []record.Field)
 }
 
-// entryWaiter is a request at its entry node.
+// entryWaiter waits on behalf of a request on its entry node.
 type entryWaiter struct {
 	part *entryPart
 	call *entryCall
@@ -35,12 +35,14 @@
 	w.part.overRate(w.call, retryAfter, evidence)
 }
 
-// upstreamWaiter is a call whose turn has come after its admission had ended.
+// upstreamWaiter waits on behalf of a call whose admission expired before its
+// turn came.
 //
-// It is made for queues that are longer than a token lives: an organisation
-// whose burst is small beside its rate has tokens of 50 ms, and behind slow work
-// nearly all of its requests would be refused although the backend server had
-// time for them. The first token counts as spent, so the bound on the rate holds.
+// It serves queues in which calls wait longer than the lifetime of a token. The
+// tokens of an organisation whose burst is small in relation to its rate live
+// for 50 ms; behind slow work, nearly all of its requests would be refused
+// although the backend server has time for them. The first token counts as
+// spent, so the bound on the rate holds.
 type upstreamWaiter struct {
 	part *upstreamPart
 	call *upstreamCall
--- a/core/node/upstream.go
+++ b/core/node/upstream.go
@@ -17,36 +17,39 @@
 	id      CallID
 	head    message.Call
 	arrived time.Duration
-	// deadline is when the caller's time ends, by Instant.Expiry.
+	// deadline is the caller's deadline, by Instant.Expiry.
 	deadline time.Duration
-	// startBy is when the call's admission ends, by Instant.Expiry; zero means never.
+	// startBy is when the call's admission expires, by Instant.Expiry; zero
+	// means never.
 	startBy time.Duration
-	// renewing is set while the call holds a slot and waits for a new admission.
+	// renewing is set while the call holds a slot and waits for a new
+	// admission.
 	renewing bool
 	// token is set once the call has been dispatched.
 	token CallToken
-	// began is when it was dispatched, by Instant.Monotonic.
+	// dispatchedAt is when the call was dispatched, by Instant.Monotonic.
 	began time.Duration
-	// escrow holds the attempts that the calls below may still use.
+	// escrow holds the attempts that child calls may still use.
 	escrow *attempt.Escrow
-	// childRefused is set once a further call of the request was refused, and
-	// childRetryAfter is when that one may come back.
+	// childRefused is set once a child call of the request was refused;
+	// childRetryAfter is the Retry-After of that refusal.
 	childRefused    bool
 	childRetryAfter time.Duration
 }
 
-// upstreamPart stands before the local backend server: every request for it
-// passes here, so what was never started is known for certain.
+// upstreamPart queues and dispatches all requests for the local backend server.
+// Because every request passes through it, the node knows for certain which
+// ones were never started.
 type upstreamPart struct {
 	node      *Node
 	calls     map[CallID]*upstreamCall
 	admission *admissioncontrol.Controller
 	cold      coldPart
-	// dispatched counts the routed requests that the backend server has in hand,
-	// repeated those of them that are repeats.
+	// inFlight counts the requests that the backend server is processing;
+	// inFlightRetries counts those of them that are retries.
 	dispatched, repeated int
-	// overloaded and reportedLimit are what was reported last, nextReport is
-	// when the limit may be reported again.
+	// overloaded and reportedLimit are the values reported last;
+	// nextLimitReport is when the limit may be reported again.
 	overloaded    bool
 	reportedLimit int
 	nextReport    time.Duration
@@ -91,7 +94,7 @@
 	p.refuseShed()
 }
 
-// start dispatches waiting calls while the backend server has room.
+// start dispatches queued calls while the backend server has capacity.
 func (p *upstreamPart) start() {
 	if p.node.options.Routed && p.node.membership.local.Draining {
 		p.turnAway("the backend server takes no new work")
@@ -120,8 +123,9 @@
 	}
 }
 
-// domainsChanged takes in that other failure domains than before are out of service.
-// A backend server may have gone cold while it got nothing.
+// domainsChanged processes a change of the failure domains that are out of
+// service. A backend server may have gone cold while its domain received no
+// requests.
 func (p *upstreamPart) domainsChanged(before coltsfootward.OutOfService) {
 	own := p.node.options.Self.Domain
 	if before.Has(own) && !p.node.domains.current.Has(own) {
@@ -130,7 +134,8 @@
 	p.start()
 }
 
-// coldLeft returns how much longer the backend server gets few requests.
+// coldRemaining returns how much longer the rate of requests to the cold
+// backend server is limited.
 func (p *upstreamPart) coldLeft() time.Duration {
 	if !p.cold.bounded() {
 		return 0
@@ -138,12 +143,14 @@
 	return p.cold.left()
 }
 
-// outOfServiceText is the detail of refusals in a failure domain without service.
+// outOfServiceText is the detail of refusals in a failure domain that is out of
+// service.
 const outOfServiceText = "the failure domain is out of service"
 
-// turnAway refuses what waits for a backend server that is to get nothing more.
-// Dispatched as its turn comes, it could reach the server long after that was
-// acknowledged; refused now, it goes to another one.
+// refuseQueued refuses all calls that wait for a backend server that must get
+// no more requests. If they were dispatched in their turn, they could reach the
+// server long after the end of its work was acknowledged; a call refused now
+// can go to another server.
 func (p *upstreamPart) turnAway(detail string) {
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
@@ -175,9 +182,9 @@
 	}
 }
 
-// repeatedPart is the part of what the backend server has in hand that are
-// repeats. Its further calls do not name the request that they are made for, so as
-// many of them are taken for calls of repeats.
+// inFlightRetryRatio returns the fraction of the backend server's requests in
+// flight that are retries. Child calls do not name the request that they are
+// made for, so the same fraction of them is assumed to belong to retries.
 func (p *upstreamPart) repeatedPart() float64 {
 	if p.dispatched == 0 {
 		return 0
@@ -185,7 +192,8 @@
 	return float64(p.repeated) / float64(p.dispatched)
 }
 
-// refuseShed answers what admission has refused since the last time.
+// refuseShed refuses the calls that admission control has shed since it was
+// last asked.
 func (p *upstreamPart) refuseShed() {
 	for _, shed := range p.admission.Refused() {
 		text := "more important requests fill the backend server's queue"
@@ -225,8 +233,8 @@
 	return CallToken(fmt.Sprintf("%016x%016x", n.source.Uint64(), n.source.Uint64()))
 }
 
-// sortedCalls returns the calls in the order of their numbers: the order of a
-// map would differ between two runs of one seed.
+// sortedCalls returns the IDs of the calls in ascending order. The iteration
+// order of a map would differ between two runs with the same seed.
 func sortedCalls[V any](calls map[CallID]V) []CallID {
 	return slices.Sorted(maps.Keys(calls))
 }
--- a/core/node/upstream_end.go
+++ b/core/node/upstream_end.go
@@ -44,8 +44,8 @@
 	p.refuseShed()
 }
 
-// rejected answers a call that the backend server said it did not run. The
-// server has seen it, so it counts as an attempt.
+// refuseRejected answers a call that the backend server reported not to have
+// run. The server has seen it, so it counts as an attempt.
 func (p *upstreamPart) rejected(call *upstreamCall) {
 	delete(p.calls, call.id)
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the backend server rejected the request without running it").
@@ -53,18 +53,20 @@
 	p.answerRefused(call, r, 1)
 }
 
-// answerRefused tells the peer and the log that a call is refused.
+// sendRefusal sends a call's refusal to the peer and logs it.
 func (p *upstreamPart) answerRefused(call *upstreamCall, r coltsfootward.Refusal, attempts int) {
 	p.node.report(record.CallRefused, append(refusalFields(call.head.Request, r), p.evidence(call)...)...)
 	p.node.act(Refuse{Call: call.id, Refusal: r, Load: p.load(call.head), Attempts: attempts})
 }
 
-// failed is the refusal of a call that the backend server broke off.
+// failureRefusal returns the refusal of a call that the backend server broke
+// off.
 //
-// One that broke off because a further call of its own was refused is final:
-// the layer below has already attempted that call as often as is allowed. If
-// each layer above did so too, attempts would multiply with the depth just
-// when the deepest service is overloaded.
+// If the server broke off because one of its child calls was refused, the
+// refusal is final: the layer below has already attempted the child call as
+// often as is allowed. If each layer above did the same, attempts would
+// multiply with the depth of the chain just when the deepest service is
+// overloaded.
 func (p *upstreamPart) failed(call *upstreamCall) coltsfootward.Refusal {
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalUpstreamFailed, "the backend server broke off").
 		WithExecution(coltsfootward.ExecutionUnknown)
@@ -74,7 +76,8 @@
 	return r
 }
 
-// childRefused notes that a further call of the request was refused for good.
+// childRefused records that a child call of the request was refused and will
+// not be retried.
 func (p *upstreamPart) childRefused(token CallToken, r coltsfootward.Refusal) {
 	if call, ok := p.node.ledger.parent(token); ok {
 		call.childRefused = true
@@ -100,8 +103,8 @@
 	p.start()
 }
 
-// refuse answers the peer. Attempts counts what the call and all below it used:
-// its own attempt only if it may have run.
+// refuse answers the peer with a refusal. Its attempt count covers the call and
+// everything below it; the call's own attempt counts only if it may have run.
 func (p *upstreamPart) refuse(call *upstreamCall, r coltsfootward.Refusal) {
 	delete(p.calls, call.id)
 	used := 0
--- a/core/node/upstream_load.go
+++ b/core/node/upstream_load.go
@@ -7,8 +7,9 @@
 	"coltsfootward/core/record"
 )
 
-// measure takes in how full the backend server has been since the last look. It comes
-// before each change of that, so the time between two looks does not matter.
+// observeLoad records the backend server's load since the last observation. It
+// is called before each change of the load, so the interval between two
+// observations does not matter.
 func (p *upstreamPart) measure() {
 	p.node.meter.Observe(p.node.now.Monotonic, p.admission.Running(), p.admission.Backlog())
 }
@@ -26,8 +27,9 @@
 	p.node.report(code, field("service", string(p.node.membership.local.Service)), field("queued", number(p.admission.Queued())))
 }
 
-// reportLimit reports the limit's moves, at most once a second. The first limit
-// is what the backend server announced and has been reported as such.
+// reportLimit reports changes of the concurrency limit, at most once a second.
+// The first limit is not reported, because it is the one that the backend
+// server announced and that has been reported as such.
 func (p *upstreamPart) reportLimit() {
 	limit, now := p.admission.Limit(), p.node.now.Monotonic
 	if limit == p.reportedLimit || now < p.nextReport {
@@ -42,7 +44,8 @@
 	p.node.report(record.LimitChanged, field("limit", number(limit)), field("slots", number(p.node.membership.local.Slots)))
 }
 
-// load is what goes back with every answer to such a request.
+// load returns the load report that is sent with the response to a request with
+// the given head.
 func (p *upstreamPart) load(head message.Call) message.Load {
 	if head.Route != "" {
 		return p.routedLoad(head)
@@ -55,8 +58,10 @@
 	}
 }
 
-// routedLoad tells how full this upstream is, and what entry nodes are to refuse
-// for it and for the services that such requests need further down.
+// routedLoad returns the load report for a routed request: the load of this
+// upstream, and the fraction of the demand that entry nodes are to refuse, for
+// this service and for the services that such requests need further down the
+// call chain.
 func (p *upstreamPart) routedLoad(head message.Call) message.Load {
 	load := message.Load{
 		Running: p.admission.Running(),
@@ -72,13 +77,13 @@
 	return load
 }
 
-// Load returns the state of the node's own upstream, without a shed level.
+// Load returns the load of the node's own upstream, without a shed level.
 func (n *Node) Load() message.Load {
 	return n.upstream.load(message.Call{})
 }
 
-// LoadFor returns what goes back with the answer to a request: the upstream's
-// state and the shed level for such requests.
+// LoadFor returns the load report that is sent with the response to a request:
+// the upstream's load and the shed level for such requests.
 func (n *Node) LoadFor(head message.Call) message.Load {
 	return n.upstream.load(head)
 }
--- a/core/node/upstream_queue.go
+++ b/core/node/upstream_queue.go
@@ -9,7 +9,7 @@
 	"coltsfootward/core/message"
 )
 
-// request is the call as admission sees it.
+// request converts the call to a request for admission control.
 func (p *upstreamPart) request(call *upstreamCall) admissioncontrol.Request {
 	organisation, _ := p.node.configuration.current.Organisation(call.head.Organisation)
 	return admissioncontrol.Request{
@@ -27,8 +27,8 @@
 	}
 }
 
-// queuePriority is the place of a request's priorities in the queue. Without a
-// second priority only every fourth place is used.
+// queuePriority combines a request's two priorities into its priority in the
+// queue. Without a secondary priority only every fourth value is used.
 func queuePriority(head message.Call) int {
 	second := 0
 	if head.Second != "" {
@@ -37,8 +37,8 @@
 	return head.Priority.Rank()*len(coltsfootward.Priorities()) + second
 }
 
-// classOf returns the class of work that a request belongs to: its route, where
-// it has one.
+// classOf returns the class of work that a request belongs to: its route if it
+// has one, otherwise its requestClass.
 func classOf(head message.Call) string {
 	if head.Route != "" {
 		return string(head.Route)
@@ -46,8 +46,9 @@
 	return requestClass(head.Method, head.Path)
 }
 
-// requestClass groups requests that probably take equally long: the method and
-// the path's first two parts. What follows is usually the name of one thing.
+// requestClass groups requests that probably take equally long: those with the
+// same method and the same first two segments of the path. The segments after
+// that usually identify a single resource.
 func requestClass(method, path string) string {
 	end := 0
 	for range 2 {
@@ -60,7 +61,7 @@
 	return method + " " + path[:end]
 }
 
-// check refuses what cannot be served here at all.
+// check refuses calls that cannot be served on this node at all.
 func (p *upstreamPart) check(call *upstreamCall) *coltsfootward.Refusal {
 	local := p.node.membership.local
 	if local.Service == "" || local.Service != call.head.Service {
@@ -83,9 +84,10 @@
 	if now >= call.deadline {
 		return refusal(coltsfootward.RefusalTimeout, "the caller's time ran out before the request started")
 	}
-	// A node that was paused between admission and dispatch would start work
-	// that the organisation's rate has long been charged for elsewhere. The
-	// admission's short life ends that: what is older is not dispatched.
+	// Without this check, a node that was paused between admission and dispatch
+	// would start work in addition to what the organisation's rate has
+	// meanwhile been charged for elsewhere. The admission's short lifetime
+	// prevents that: an older call is not dispatched.
 	if last := call.lastStart(); last != 0 && now >= last {
 		return refusal(coltsfootward.RefusalStale, "the request waited longer than its admission lasts")
 	}
