--- a/core/node/action.go
+++ b/core/node/action.go
@@ -45,7 +45,7 @@
 	// checks it once more just before it sends the first byte. Zero means no
 	// limit.
 	StartBy time.Duration
-	// Unrepeatable requests must not be sent again by a retry of the transport.
+	// Unrepeatable requests must not be sent twice by a retry of the transport.
 	Unrepeatable bool
 }
 
--- a/core/node/benchmark_test.go
+++ b/core/node/benchmark_test.go
@@ -19,7 +19,7 @@
 	for b.Loop() {
 		call += 2
 		s.now = s.now.Add(1000)
-		head := forwarded(s.handle(node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}))
+		head := forwardedHead(s.handle(node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}))
 		s.handle(node.PeerCallArrived{Call: call + 1, Head: head})
 		s.handle(node.DispatchEnded{Call: call + 1, Kind: node.DispatchAnswered})
 		s.handle(node.AttemptEnded{Call: call, Kind: node.AttemptAnswered, Load: s.node.Load()})
@@ -27,7 +27,7 @@
 	}
 }
 
-func forwarded(actions []node.Action) message.Call {
+func forwardedHead(actions []node.Action) message.Call {
 	for _, action := range actions {
 		if forward, ok := action.(node.Forward); ok {
 			return forward.Head
--- a/core/node/cold.go
+++ b/core/node/cold.go
@@ -11,7 +11,7 @@
 const (
 	// coldPublishThreshold is by how much the end of the cold period must
 	// change before the change is published to other nodes.
-	coldStep = 500 * time.Millisecond
+	coldPublishThreshold = 500 * time.Millisecond
 	// restartFailures is the number of consecutive requests that must break off
 	// before the backend server is assumed to have restarted: a crash breaks
 	// off all of its requests in flight.
@@ -19,7 +19,7 @@
 	// coldRetryDelay is the mean delay after the end of the cold period with
 	// which refused callers are asked to return, so that they do not all return
 	// at once.
-	coldReturnSpread = 500 * time.Millisecond
+	coldRetryDelay = 500 * time.Millisecond
 	// checkInterval is the time after a health check during which broken-off
 	// requests do not trigger another one.
 	checkInterval = time.Second
@@ -32,22 +32,22 @@
 //
 // All its times are by Instant.Monotonic, which never runs ahead: a wall clock
 // that steps forward must not end a cold period early.
-type coldPart struct {
+type coldTracker struct {
 	node *Node
 	// startedAt is when the node process started.
-	began  time.Duration
-	starts admissioncontrol.ColdStart
+	startedAt time.Duration
+	starts    admissioncontrol.ColdStart
 	// reportedUntil is the end of the cold period as reported by the server;
 	// assumedUntil is the end of the period for which it is assumed to be cold
 	// without a report.
-	told, assumed time.Duration
+	reportedUntil, assumedUntil time.Duration
 	// publishedUntil is the end of the cold period that was last published to
 	// other nodes.
-	published time.Duration
+	publishedUntil time.Duration
 	// failures counts the consecutive requests that were broken off.
 	failures int
 	// lastCheck is when a health check was last requested.
-	asked time.Duration
+	lastCheck time.Duration
 	// passed counts the requests that the server was sent while cold; refused
 	// counts those that were refused because it was cold.
 	passed, refused int
@@ -56,72 +56,72 @@
 // announced processes the cold time that the server reported in a heartbeat.
 // The heartbeat may have been sent before the server went cold, so it does not
 // end an assumed cold period.
-func (p *coldPart) announced(cold time.Duration) {
-	p.told = p.node.now.Monotonic + cold
-	p.set()
+func (p *coldTracker) announced(cold time.Duration) {
+	p.reportedUntil = p.node.now.Monotonic + cold
+	p.publish()
 }
 
 // checked processes the response to a health check, which is newer than the
 // assumption.
-func (p *coldPart) checked(e BackendChecked) {
-	p.assumed = 0
+func (p *coldTracker) checked(e BackendChecked) {
+	p.assumedUntil = 0
 	p.announced(e.Cold)
 }
 
 // assumeCold treats the server as cold until a health check has been answered.
-func (p *coldPart) suspect() {
+func (p *coldTracker) assumeCold() {
 	service, _ := p.node.configuration.current.Service(p.node.membership.local.Service)
 	p.failures = 0
 	if service.ColdRate <= 0 {
 		return
 	}
-	p.asked = p.node.now.Monotonic
-	p.assumed = p.asked + service.ColdTime
-	p.set()
+	p.lastCheck = p.node.now.Monotonic
+	p.assumedUntil = p.lastCheck + service.ColdTime
+	p.publish()
 	p.node.act(CheckBackend{})
 }
 
 // dispatchEnded counts consecutive failures and assumes a restart after
 // restartFailures of them.
-func (p *coldPart) ended(kind DispatchKind) {
+func (p *coldTracker) dispatchEnded(kind DispatchKind) {
 	switch kind {
 	case DispatchAnswered, DispatchRejected:
 		p.failures = 0
 	case DispatchFailed:
 		p.failures++
-		if p.failures >= restartFailures && p.node.now.Monotonic-p.asked >= checkInterval {
-			p.suspect()
+		if p.failures >= restartFailures && p.node.now.Monotonic-p.lastCheck >= checkInterval {
+			p.assumeCold()
 		}
 	}
 }
 
-func (p *coldPart) until() time.Duration { return max(p.told, p.assumed) }
+func (p *coldTracker) coldUntil() time.Duration { return max(p.reportedUntil, p.assumedUntil) }
 
 // left returns how much longer the server is cold.
-func (p *coldPart) left() time.Duration { return max(p.until()-p.node.now.Monotonic, 0) }
+func (p *coldTracker) left() time.Duration { return max(p.coldUntil()-p.node.now.Monotonic, 0) }
 
 // publish informs other nodes if the end of the cold period has changed by at
 // least coldPublishThreshold.
-func (p *coldPart) set() {
+func (p *coldTracker) publish() {
 	now := p.node.now.Monotonic
-	moved := (p.until() - p.published).Abs()
-	if moved < coldStep || p.until() <= now && p.published <= now {
+	moved := (p.coldUntil() - p.publishedUntil).Abs()
+	if moved < coldPublishThreshold || p.coldUntil() <= now && p.publishedUntil <= now {
 		return
 	}
-	p.published = p.until()
+	p.publishedUntil = p.coldUntil()
 	p.node.membership.coldChanged()
 	if p.left() > 0 {
-		p.node.report(record.BackendCold, field("service", string(p.node.options.Service)), field("left", short(p.left())))
+		p.node.report(record.BackendCold, field("service", string(p.node.options.Service)), field("left", rounded(p.left())))
 	}
 	p.node.upstream.start()
 }
 
 // refresh applies the configured rate for cold servers, and limits the queue
 // for the server while it is cold.
-func (p *coldPart) refresh() {
+func (p *coldTracker) refresh() {
 	service, _ := p.node.configuration.current.Service(p.node.membership.local.Service)
-	p.starts.SetRate(service.ColdRate, p.began)
-	if p.bounded() {
+	p.starts.SetRate(service.ColdRate, p.startedAt)
+	if p.rateLimited() {
 		p.node.upstream.admission.SetCold(true, p.starts.Room(p.node.now.Monotonic))
 		return
 	}
@@ -130,24 +130,26 @@
 
 // rateLimited reports whether the server is cold and its rate of requests
 // therefore limited.
-func (p *coldPart) bounded() bool { return p.starts.Bounds() && p.left() > 0 }
+func (p *coldTracker) rateLimited() bool { return p.starts.Bounds() && p.left() > 0 }
 
 // mayStart reports whether a request may be dispatched now.
-func (p *coldPart) allows() bool { return !p.bounded() || p.starts.Wait(p.node.now.Monotonic) == 0 }
+func (p *coldTracker) mayStart() bool {
+	return !p.rateLimited() || p.starts.Wait(p.node.now.Monotonic) == 0
+}
 
 // recordStart records that a request was dispatched.
-func (p *coldPart) started() {
+func (p *coldTracker) recordStart() {
 	p.starts.Started(p.node.now.Monotonic)
-	if p.bounded() {
+	if p.rateLimited() {
 		p.passed++
 	}
 }
 
 // withRetryAfter sets the Retry-After of a refusal due to a cold server, and
 // counts the refusal.
-func (p *coldPart) refusal(r coltsfootward.Refusal) coltsfootward.Refusal {
+func (p *coldTracker) withRetryAfter(r coltsfootward.Refusal) coltsfootward.Refusal {
 	p.refused++
-	return r.WithRetryAfter(p.left() + p.node.spread(coldReturnSpread))
+	return r.WithRetryAfter(p.left() + p.node.spread(coldRetryDelay))
 }
 
 // ColdStatus is the cold state of a node's backend server.
--- a/core/node/entry.go
+++ b/core/node/entry.go
@@ -11,7 +11,7 @@
 // retryAfterJitter is the width of the range from which spreadRetryAfter chooses
 // a Retry-After at random when there is no better estimate, so that callers that
 // are refused together do not return together.
-const retryAfterSpread = 2 * time.Second
+const retryAfterJitter = 2 * time.Second
 
 // Bounds for the Retry-After of a call that is shed at entry, before jitter.
 // Between them it equals the time for which the node has been shedding: an
@@ -20,16 +20,16 @@
 // callers that are asked to stay away for longer than they are willing to wait
 // give up.
 const (
-	shortestRetryAfter = time.Second
-	longestRetryAfter  = 1500 * time.Millisecond
+	minRetryAfter = time.Second
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
 // entryCall is a request on its entry node, the node that received it from the
 // caller.
 type entryCall struct {
-	id      CallID
-	head    message.Call
-	arrived time.Duration
+	id        CallID
+	head      message.Call
+	arrivedAt time.Duration
 	// deadline is the caller's deadline, by Instant.Expiry.
 	deadline time.Duration
 	// timeout is how long the request may wait for a response to begin.
@@ -43,23 +43,23 @@
 	budget int
 	// allocation is the number of attempts allocated to the attempt in flight
 	// and the child calls below it.
-	carried int
+	allocation int
 	// retryAllowed is false for retries by the caller: retries on both sides
 	// would multiply.
-	mayRetry bool
+	retryAllowed bool
 	// tried holds the instances that have refused or lost the call.
 	tried map[coltsfootward.InstanceID]bool
 	// target is the destination of the current or latest attempt.
 	target coltsfootward.InstanceID
 	// sentAt is when the latest attempt was sent, by Instant.Monotonic.
-	sent time.Duration
+	sentAt time.Duration
 	// inFlight is set while an attempt is in flight.
-	running bool
+	inFlight bool
 	// mayHaveRun is set once the execution of an attempt cannot be ruled out.
-	doubtful bool
+	mayHaveRun bool
 	// lastRefusal is the refusal that ended the latest attempt; its kind is
 	// empty until an attempt has been refused.
-	last coltsfootward.Refusal
+	lastRefusal coltsfootward.Refusal
 	// answered is set once a response has begun. The request is not retried
 	// after that, except to resume a truncated response.
 	answered bool
@@ -74,14 +74,14 @@
 	// means that none is set.
 	objective time.Duration
 	// rateExempt requests are not charged to any organisation's rate.
-	unmetered bool
+	rateExempt bool
 	// charged is set once the request has been charged to its organisation's
 	// rate. A routed request is charged once, however often it is attempted.
-	metered bool
+	charged bool
 	// routed is set if the request was routed by host and path. For such a
 	// request, budget bounds the number of backend servers that may see it, not
 	// the attempts of the whole call chain.
-	ownAttempts bool
+	routed bool
 	// seenBy lists the backend servers that have seen the request; sends counts
 	// how often they have seen it.
 	seenBy []coltsfootward.InstanceID
@@ -98,16 +98,16 @@
 	calls map[CallID]*entryCall
 	// splitStates holds the weighted round-robin state of each route with
 	// several targets.
-	splits map[coltsfootward.RouteName]*splitState
+	splitStates map[coltsfootward.RouteName]*splitState
 	// nextGateReport is when to check again which gates have changed.
-	nextMoved time.Duration
+	nextGateReport time.Duration
 }
 
 func newEntryPart(n *Node) *entryPart {
 	return &entryPart{
-		node:   n,
-		calls:  make(map[CallID]*entryCall),
-		splits: make(map[coltsfootward.RouteName]*splitState),
+		node:        n,
+		calls:       make(map[CallID]*entryCall),
+		splitStates: make(map[coltsfootward.RouteName]*splitState),
 	}
 }
 
@@ -123,7 +123,7 @@
 	if p.shedAtEntry(call) {
 		return
 	}
-	if call.head.IdempotencyKey != "" && call.head.Unrepeatable && !call.ownAttempts {
+	if call.head.IdempotencyKey != "" && call.head.Unrepeatable && !call.routed {
 		p.node.claims.claim(call)
 		return
 	}
@@ -145,12 +145,12 @@
 	if refused != nil {
 		return nil, refused
 	}
-	call, refused := p.build(e, key.Organisation)
+	call, refused := p.newCall(e, key.Organisation)
 	if refused != nil {
 		return nil, refused
 	}
-	call.mayRetry = e.Attempt <= 1
-	call.head.NoRetries = !call.mayRetry
+	call.retryAllowed = e.Attempt <= 1
+	call.head.NoRetries = !call.retryAllowed
 	call.head.ShedRank = agedRank(call.head.ShedRank, e.Attempt)
 	return call, nil
 }
@@ -163,18 +163,18 @@
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalCallToken, "the call token belongs to no request being served")
 	}
-	call, refused := p.build(e, parent.head.Organisation)
+	call, refused := p.newCall(e, parent.head.Organisation)
 	if refused != nil {
 		return nil, refused
 	}
-	slice := p.node.ledger.slice(parent, e.Service, call.budget)
-	if slice == 0 {
+	allocated := p.node.ledger.allocate(parent, e.Service, call.budget)
+	if allocated == 0 {
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalAttempts, "the chain has used its attempts").WithFinal()
 		return nil, &r
 	}
-	call.budget = slice
+	call.budget = allocated
 	call.parent = e.Token
-	call.mayRetry = !parent.head.NoRetries
+	call.retryAllowed = !parent.head.NoRetries
 	call.head.NoRetries = parent.head.NoRetries
 	call.deadline = min(call.deadline, parent.deadline)
 	call.head.Request = parent.head.Request
@@ -184,7 +184,7 @@
 	return call, nil
 }
 
-func (p *entryPart) build(e RequestArrived, organisation coltsfootward.OrganisationName) (*entryCall, *coltsfootward.Refusal) {
+func (p *entryPart) newCall(e RequestArrived, organisation coltsfootward.OrganisationName) (*entryCall, *coltsfootward.Refusal) {
 	service, ok := p.node.configuration.current.Service(e.Service)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalUnknownService, fmt.Sprintf("there is no service %q", e.Service))
@@ -193,13 +193,13 @@
 	request := p.node.newRequestID()
 	timeout := p.timeout(e.Timeout, service.Timeout)
 	call := &entryCall{
-		id:       e.Call,
-		arrived:  p.node.now.Expiry,
-		deadline: p.node.now.Expiry + timeout,
-		timeout:  timeout,
-		budget:   p.node.options.Attempts,
-		tried:    make(map[coltsfootward.InstanceID]bool),
-		body:     e.Body,
+		id:        e.Call,
+		arrivedAt: p.node.now.Expiry,
+		deadline:  p.node.now.Expiry + timeout,
+		timeout:   timeout,
+		budget:    p.node.options.Attempts,
+		tried:     make(map[coltsfootward.InstanceID]bool),
+		body:      e.Body,
 	}
 	if service.Attempts > 0 {
 		call.budget = service.Attempts
@@ -218,13 +218,13 @@
 	return call, nil
 }
 
-func (p *entryPart) timeout(asked, service time.Duration) time.Duration {
+func (p *entryPart) timeout(requested, service time.Duration) time.Duration {
 	timeout := p.node.options.Timeout
 	if service > 0 {
 		timeout = service
 	}
-	if asked > 0 {
-		timeout = asked
+	if requested > 0 {
+		timeout = requested
 	}
 	return min(timeout, p.node.options.MaximumTimeout)
 }
@@ -233,22 +233,22 @@
 // done for it. Under overload, each hop taken by a request that will be shed
 // anyway is capacity lost to the requests that will be answered.
 func (p *entryPart) shedAtEntry(call *entryCall) bool {
-	if call.ownAttempts {
-		return p.refusedAtGate(call)
+	if call.routed {
+		return p.refuseAtGate(call)
 	}
-	if !p.node.placement.shed(call) {
+	if !p.node.placement.sheds(call) {
 		return false
 	}
-	retryAfter := max(p.node.placement.shedFor(call.head.Service), shortestRetryAfter)
+	retryAfter := max(p.node.placement.shedDuration(call.head.Service), minRetryAfter)
 	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the service sheds requests of this importance").
-		WithRetryAfter(p.node.spread(min(retryAfter, longestRetryAfter))))
+		WithRetryAfter(p.node.spread(min(retryAfter, maxRetryAfter))))
 	return true
 }
 
 // claimed continues a call once no other request runs under its idempotency
 // key.
 func (p *entryPart) claimed(call *entryCall) {
-	p.attempt(call)
+	p.startAttempt(call)
 }
 
 func refusal(kind coltsfootward.RefusalKind, detail string) *coltsfootward.Refusal {
@@ -261,7 +261,7 @@
 }
 
 func (n *Node) spreadRetryAfter() time.Duration {
-	return retryAfterSpread/4 + time.Duration(n.source.Int64N(int64(retryAfterSpread)))
+	return retryAfterJitter/4 + time.Duration(n.source.Int64N(int64(retryAfterJitter)))
 }
 
 // spread applies a jitter of up to a quarter less or more to d, so that callers
--- a/core/node/entry_attempt.go
+++ b/core/node/entry_attempt.go
@@ -11,17 +11,17 @@
 
 // startAttempt obtains an admission for the next attempt. Child calls need
 // none: the caller's request at the top of the chain was charged for them.
-func (p *entryPart) attempt(call *entryCall) {
-	if call.parent != "" || call.unmetered || call.metered {
+func (p *entryPart) startAttempt(call *entryCall) {
+	if call.parent != "" || call.rateExempt || call.charged {
 		p.admitted(call, admission{})
 		return
 	}
-	p.node.rate.acquire(entryWaiter{part: p, call: call})
+	p.node.rate.acquire(entryWaiter{component: p, call: call})
 }
 
 // admitted sends an attempt that the organisation's rate allows.
 func (p *entryPart) admitted(call *entryCall, granted admission) {
-	if !call.metered {
+	if !call.charged {
 		call.admission = granted
 	}
 	now := p.node.now.Expiry
@@ -34,32 +34,32 @@
 			WithRetryAfter(p.node.spreadRetryAfter()))
 		return
 	}
-	target, ok := p.target(call)
+	target, ok := p.chooseTarget(call)
 	if !ok {
-		p.giveUp(call, p.noTarget(call), p.targetEvidence(call)...)
+		p.giveUp(call, p.noTargetRefusal(call), p.targetEvidence(call)...)
 		return
 	}
 	call.target = target.ID
-	call.running = true
+	call.inFlight = true
 	call.hops++
-	call.metered = call.ownAttempts
-	if call.ownAttempts && call.hops == 1 {
-		p.node.placement.requested(call)
+	call.charged = call.routed
+	if call.routed && call.hops == 1 {
+		p.node.placement.countRequest(call)
 	}
-	p.node.placement.sent(call)
+	p.node.placement.attemptSent(call)
 	head := call.head
-	call.carried = p.node.ledger.carry(call)
-	head.Budget = call.carried
+	call.allocation = p.node.ledger.nextAllocation(call)
+	head.Budget = call.allocation
 	head.Timeout = call.deadline - now
 	// A routed request is charged when it is admitted, and may be queued for
 	// longer than its token's lifetime. The deployment's bound on the rate
 	// leaves room for tokens that are spent late.
-	if !call.ownAttempts {
+	if !call.routed {
 		head.StartWithin = granted.remaining(p.node.now)
 		head.Renewable = call.claim == nil && granted.expires != 0
 	}
 	if call.claim != nil {
-		head.StartWithin = shorter(head.StartWithin, call.claim.expires-now)
+		head.StartWithin = shorterLimit(head.StartWithin, call.claim.expires-now)
 	}
 	p.node.act(Forward{Call: call.id, To: target, Head: head})
 }
@@ -68,30 +68,30 @@
 // servers that were tried have refused it, their refusal is returned: "no
 // backend server takes work" would send operators looking for servers that are
 // in fact running.
-func (p *entryPart) noTarget(call *entryCall) coltsfootward.Refusal {
-	if call.last.Kind != "" {
-		return call.last
+func (p *entryPart) noTargetRefusal(call *entryCall) coltsfootward.Refusal {
+	if call.lastRefusal.Kind != "" {
+		return call.lastRefusal
 	}
 	return coltsfootward.NewRefusal(coltsfootward.RefusalNoUpstream, "no backend server of the service takes work").
 		WithRetryAfter(p.node.spreadRetryAfter())
 }
 
 // refuseOverRate ends a call that exceeds the organisation's rate.
-func (p *entryPart) overRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
+func (p *entryPart) refuseOverRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
 	p.giveUp(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate, "the organisation is above its rate and burst").
 		WithRetryAfter(retryAfter), evidence...)
 }
 
 func (p *entryPart) attemptEnded(e AttemptEnded) {
 	call, ok := p.calls[e.Call]
-	if !ok || !call.running {
+	if !ok || !call.inFlight {
 		return
 	}
-	call.running = false
-	p.node.placement.observe(call, e)
+	call.inFlight = false
+	p.node.placement.attemptEnded(call, e)
 	if e.Kind == AttemptAnswered {
 		call.answered = true
-		p.callEnded(call, e.Status >= http.StatusInternalServerError)
+		p.recordChildEnd(call, e.Status >= http.StatusInternalServerError)
 		return
 	}
 	call.attempts += attemptsUsed(call, e)
@@ -99,22 +99,22 @@
 	p.settleAdmission(call, e)
 	unseen := e.Kind == AttemptUnsent || e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && e.Attempts == 0
 	refused := refusalOf(e)
-	call.doubtful = call.doubtful || refused.Execution != coltsfootward.ExecutionNotRun
+	call.mayHaveRun = call.mayHaveRun || refused.Execution != coltsfootward.ExecutionNotRun
 	p.node.report(record.AttemptFailed, field("request", string(call.head.Request)),
 		field("instance", string(call.target)), field("kind", string(refused.Kind)),
 		field("execution", string(refused.Execution)), field("detail", refused.Detail),
 		field("service", string(call.head.Service)), field("route", string(call.head.Route)),
-		field("hop", number(call.hops)), field("took", short(p.node.now.Monotonic-call.sent)))
-	call.last = refused
+		field("hop", number(call.hops)), field("took", rounded(p.node.now.Monotonic-call.sentAt)))
+	call.lastRefusal = refused
 	call.tried[call.target] = true
 	if !unseen {
 		call.head.Repeat = true
 		call.sends++
-		call.noteSeen(call.target)
+		call.recordSeen(call.target)
 	}
 	p.node.ledger.topUp(call)
 	if p.mayRetry(call, refused, unseen) {
-		p.attempt(call)
+		p.startAttempt(call)
 		return
 	}
 	p.finish(call, refused)
@@ -124,8 +124,8 @@
 // budget bounds the number of backend servers that see it, but a server that
 // has rejected it may be tried again: a server that rejects requests at random
 // is as likely as not to serve the next attempt.
-func (p *entryPart) mayRepeat(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
-	if refused.Final || p.node.now.Expiry >= call.deadline || !repeatable(call, refused) {
+func (p *entryPart) mayRetryRouted(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
+	if refused.Final || p.node.now.Expiry >= call.deadline || !safeToRetry(call, refused) {
 		return false
 	}
 	if unseen {
@@ -135,27 +135,27 @@
 	if call.sends >= maximumSends || !rejected && len(call.seenBy) >= call.budget {
 		return false
 	}
-	return p.node.placement.mayRepeat(call)
+	return p.node.placement.takeRoutedRetry(call)
 }
 
 // chooseTarget returns the destination of the next attempt.
-func (p *entryPart) target(call *entryCall) (coltsfootward.Instance, bool) {
-	if !call.ownAttempts {
+func (p *entryPart) chooseTarget(call *entryCall) (coltsfootward.Instance, bool) {
+	if !call.routed {
 		return p.node.placement.choose(call)
 	}
 	if len(call.seenBy) >= call.budget {
-		return p.node.placement.again(call)
+		return p.node.placement.seenServer(call)
 	}
 	target, ok := p.node.placement.choose(call)
-	if !ok && len(call.seenBy) > 0 && call.last.Execution == coltsfootward.ExecutionNotRun {
+	if !ok && len(call.seenBy) > 0 && call.lastRefusal.Execution == coltsfootward.ExecutionNotRun {
 		// The service has only one server, so the same one is tried again.
-		return p.node.placement.again(call)
+		return p.node.placement.seenServer(call)
 	}
 	return target, ok
 }
 
 // recordSeen records that a backend server has seen the call.
-func (c *entryCall) noteSeen(id coltsfootward.InstanceID) {
+func (c *entryCall) recordSeen(id coltsfootward.InstanceID) {
 	if !slices.Contains(c.seenBy, id) {
 		c.seenBy = append(c.seenBy, id)
 	}
@@ -164,7 +164,7 @@
 // settleAdmission returns the admission of an attempt that did not spend it. An
 // attempt that may have started has spent its admission, whatever its outcome.
 func (p *entryPart) settleAdmission(call *entryCall, e AttemptEnded) {
-	if call.ownAttempts {
+	if call.routed {
 		return // charged once; finish releases the admission if nothing ran
 	}
 	spent := e.Kind == AttemptLost || (e.Kind == AttemptRefused && e.Refusal.Execution != coltsfootward.ExecutionNotRun)
@@ -182,12 +182,12 @@
 	switch {
 	case e.Kind == AttemptUnsent:
 		return 0
-	case e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && !call.ownAttempts:
+	case e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && !call.routed:
 		return 0
 	case e.Kind == AttemptRefused && e.Attempts >= 0:
-		return min(e.Attempts, call.carried)
+		return min(e.Attempts, call.allocation)
 	default:
-		return call.carried
+		return call.allocation
 	}
 }
 
@@ -209,16 +209,16 @@
 // as it costs the servers nothing; their number is still limited, because each
 // one is a hop under load.
 func (p *entryPart) mayRetry(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
-	if call.ownAttempts {
-		return p.mayRepeat(call, refused, unseen)
+	if call.routed {
+		return p.mayRetryRouted(call, refused, unseen)
 	}
-	if refused.Final || !call.mayRetry || !p.node.ledger.enough(call) {
+	if refused.Final || !call.retryAllowed || !p.node.ledger.hasEnough(call) {
 		return false
 	}
 	if p.node.now.Expiry >= call.deadline {
 		return false
 	}
-	return repeatable(call, refused) && p.node.placement.mayRetry(call.head.Service)
+	return safeToRetry(call, refused) && p.node.placement.takeRetry(call.head.Service)
 }
 
 // maximumHops is the number of attempts of a routed request, including those
@@ -232,7 +232,7 @@
 // 100 cases.
 const maximumSends = 4
 
-func repeatable(call *entryCall, refused coltsfootward.Refusal) bool {
+func safeToRetry(call *entryCall, refused coltsfootward.Refusal) bool {
 	if refused.Execution == coltsfootward.ExecutionNotRun {
 		return retryableKind(refused.Kind)
 	}
--- a/core/node/entry_end.go
+++ b/core/node/entry_end.go
@@ -15,7 +15,7 @@
 // organisation would be charged for requests that never ran, and later requests
 // within its rate would be refused.
 func (p *entryPart) giveUp(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
-	if !call.running {
+	if !call.inFlight {
 		p.node.rate.release(call.head.Organisation, call.admission)
 		call.admission = admission{}
 	}
@@ -27,18 +27,18 @@
 // certainly did not run does not change the execution status back to not run.
 func (p *entryPart) finish(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
 	delete(p.calls, call.id)
-	p.callEnded(call, true)
-	if call.doubtful && r.Execution == coltsfootward.ExecutionNotRun {
+	p.recordChildEnd(call, true)
+	if call.mayHaveRun && r.Execution == coltsfootward.ExecutionNotRun {
 		r = r.WithExecution(coltsfootward.ExecutionUnknown)
 	}
-	if call.ownAttempts && r.Execution == coltsfootward.ExecutionNotRun {
+	if call.routed && r.Execution == coltsfootward.ExecutionNotRun {
 		p.node.rate.release(call.head.Organisation, call.admission)
 	}
 	if call.claim != nil {
 		p.node.claims.ended(call, r.Execution, nil)
 	}
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget-call.attempts)
+		p.node.ledger.release(call.parent, call.budget-call.attempts)
 		p.node.upstream.childRefused(call.parent, r)
 	}
 	p.refuse(call.id, call.head.Request, r, append(p.evidence(call), evidence...)...)
@@ -49,7 +49,7 @@
 func (p *entryPart) replay(call *entryCall, answer *claim.Answer) {
 	delete(p.calls, call.id)
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget)
+		p.node.ledger.release(call.parent, call.budget)
 	}
 	p.node.act(Replay{Call: call.id, Answer: *answer})
 }
@@ -70,16 +70,16 @@
 		return
 	}
 	call.answered = false
-	call.running = false
-	call.doubtful = true
-	call.attempts += call.carried
+	call.inFlight = false
+	call.mayHaveRun = true
+	call.attempts += call.allocation
 	if call.parent == "" {
 		call.deadline = max(call.deadline, p.node.now.Expiry+call.timeout)
 	}
 	p.node.ledger.topUp(call)
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalConnectionLost, "the answer broke off").WithExecution(coltsfootward.ExecutionUnknown)
 	if p.mayRetry(call, r, false) {
-		p.attempt(call)
+		p.startAttempt(call)
 		return
 	}
 	p.finish(call, r)
@@ -91,16 +91,16 @@
 		return
 	}
 	delete(p.calls, e.Call)
-	used := call.carried
+	used := call.allocation
 	if e.Attempts >= 0 {
 		used = min(e.Attempts, used)
 	}
 	call.attempts += used
 	if e.Whole && e.Attempts >= 0 {
-		p.node.ledger.answered(call, e.Needed)
+		p.node.ledger.recordNeed(call, e.Needed)
 	}
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget-call.attempts)
+		p.node.ledger.release(call.parent, call.budget-call.attempts)
 	}
 	if call.claim != nil {
 		p.node.claims.ended(call, coltsfootward.ExecutionRan, e.Answer)
@@ -116,16 +116,16 @@
 	}
 	delete(p.calls, id)
 	execution := coltsfootward.ExecutionNotRun
-	if call.running || call.answered || call.doubtful {
+	if call.inFlight || call.answered || call.mayHaveRun {
 		execution = coltsfootward.ExecutionUnknown
 	}
-	if call.running || call.answered {
-		call.attempts += call.carried
+	if call.inFlight || call.answered {
+		call.attempts += call.allocation
 	}
-	if call.running {
-		p.node.placement.left(call, false)
+	if call.inFlight {
+		p.node.placement.attemptCancelled(call, false)
 	}
-	if call.running || call.answered {
+	if call.inFlight || call.answered {
 		p.node.act(CancelAttempt{Call: id})
 	} else {
 		p.node.rate.release(call.head.Organisation, call.admission)
@@ -134,13 +134,13 @@
 		p.node.claims.ended(call, execution, nil)
 	}
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget-call.attempts)
+		p.node.ledger.release(call.parent, call.budget-call.attempts)
 	}
 }
 
 // tick ends calls whose deadline has passed while they waited.
 func (p *entryPart) tick() {
-	p.moveGates()
+	p.updateGates()
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
 		if call.answered || p.node.now.Expiry < call.deadline {
@@ -152,18 +152,18 @@
 
 func (p *entryPart) expire(call *entryCall) {
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalTimeout, "the caller's time ran out")
-	if call.running {
-		p.node.placement.left(call, true)
+	if call.inFlight {
+		p.node.placement.attemptCancelled(call, true)
 		p.node.act(CancelAttempt{Call: call.id})
 		r = r.WithExecution(coltsfootward.ExecutionUnknown)
-		call.attempts += call.carried
+		call.attempts += call.allocation
 	}
 	p.giveUp(call, r)
 }
 
 // shorterLimit returns the shorter of two durations; a limit of zero means no
 // limit.
-func shorter(limit, other time.Duration) time.Duration {
+func shorterLimit(limit, other time.Duration) time.Duration {
 	if limit == 0 {
 		return other
 	}
--- a/core/node/entry_route.go
+++ b/core/node/entry_route.go
@@ -19,28 +19,28 @@
 	configuration := p.node.configuration.current
 	if configuration.Revision() == 0 {
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalConfiguration, "no configuration has been read yet").
-			WithRetryAfter(p.node.spread(configurationReturn))
+			WithRetryAfter(p.node.spread(unconfiguredRetryAfter))
 		return nil, &r
 	}
 	route, ok := configuration.Route(e.Host, e.Path)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalUnknownRoute, "no route begins the request's host and path")
 	}
-	organisation, refused := p.organisation(configuration, route, e.Key)
+	organisation, refused := p.authenticate(configuration, route, e.Key)
 	if refused != nil {
 		return nil, refused
 	}
-	return p.buildRouted(e, route, organisation), nil
+	return p.newRoutedCall(e, route, organisation), nil
 }
 
 // unconfiguredRetryAfter is the Retry-After of a node that has just started and
 // has no configuration yet. It usually has one within half a second.
-const configurationReturn = 500 * time.Millisecond
+const unconfiguredRetryAfter = 500 * time.Millisecond
 
 // authenticate returns the organisation that a request is charged to. It
 // returns the zero value for requests without an organisation, such as those of
 // backend servers.
-func (p *entryPart) organisation(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
+func (p *entryPart) authenticate(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
 	if !c.HasOrganisations() {
 		return coltsfootward.Organisation{}, nil
 	}
@@ -55,14 +55,14 @@
 	return organisation, nil
 }
 
-func (p *entryPart) buildRouted(e RequestArrived, route coltsfootward.Route, organisation coltsfootward.Organisation) *entryCall {
+func (p *entryPart) newRoutedCall(e RequestArrived, route coltsfootward.Route, organisation coltsfootward.Organisation) *entryCall {
 	request := e.Request
 	if request == "" {
 		request = p.node.newRequestID()
 	}
-	priority, second := route.Priority, coltsfootward.PriorityCritical
+	priority, secondary := route.Priority, coltsfootward.PriorityCritical
 	if organisation.Name != "" {
-		second = route.Priority
+		secondary = route.Priority
 	}
 	if organisation.Priority != "" {
 		priority = organisation.Priority
@@ -72,26 +72,26 @@
 		timeout = min(timeout, route.Timeout)
 	}
 	call := &entryCall{
-		id:          e.Call,
-		arrived:     p.node.now.Expiry,
-		deadline:    p.node.now.Expiry + timeout,
-		timeout:     timeout,
-		budget:      max(route.Attempts, 1),
-		mayRetry:    true,
-		tried:       make(map[coltsfootward.InstanceID]bool),
-		unmetered:   organisation.Name == "" || organisation.Unlimited,
-		objective:   route.Objective,
-		ownAttempts: true,
+		id:           e.Call,
+		arrivedAt:    p.node.now.Expiry,
+		deadline:     p.node.now.Expiry + timeout,
+		timeout:      timeout,
+		budget:       max(route.Attempts, 1),
+		retryAllowed: true,
+		tried:        make(map[coltsfootward.InstanceID]bool),
+		rateExempt:   organisation.Name == "" || organisation.Unlimited,
+		objective:    route.Objective,
+		routed:       true,
 	}
 	call.head = message.Call{
 		Request:      request,
 		Organisation: organisation.Name,
-		Service:      p.split(route),
+		Service:      p.chooseService(route),
 		Method:       e.Method,
 		Path:         e.Path,
 		Priority:     priority,
-		Second:       second,
-		ShedRank:     RoutedRank(priority, second, organisation.Name, request),
+		Second:       secondary,
+		ShedRank:     RoutedRank(priority, secondary, organisation.Name, request),
 		Unrepeatable: route.Unrepeatable,
 		Route:        route.Name,
 		Host:         e.Host,
@@ -99,7 +99,7 @@
 	}
 	if organisation.Name == "" {
 		call.head.Depth = 1
-		call.head.Repeat = p.node.source.Float64() < p.node.upstream.repeatedPart()
+		call.head.Repeat = p.node.source.Float64() < p.node.upstream.inFlightRetryRatio()
 		p.node.callees.Called(p.node.now.Monotonic, route.Name)
 	}
 	return call
@@ -108,8 +108,8 @@
 // splitState is the state of the smooth weighted round robin over a route's
 // targets.
 type splitState struct {
-	targets []coltsfootward.RouteTarget
-	behind  []int
+	targets        []coltsfootward.RouteTarget
+	currentWeights []int
 }
 
 // chooseService returns the service for a route's next request by smooth
@@ -117,27 +117,27 @@
 // the weights exactly, and therefore so do those of the whole deployment. A
 // request that the chosen service has no capacity for is refused, not sent to
 // another service.
-func (p *entryPart) split(route coltsfootward.Route) coltsfootward.ServiceName {
+func (p *entryPart) chooseService(route coltsfootward.Route) coltsfootward.ServiceName {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
-	state, ok := p.splits[route.Name]
+	state, ok := p.splitStates[route.Name]
 	if !ok || !sameTargets(state.targets, route.Targets) {
-		state = &splitState{targets: route.Targets, behind: make([]int, len(route.Targets))}
-		p.splits[route.Name] = state
+		state = &splitState{targets: route.Targets, currentWeights: make([]int, len(route.Targets))}
+		p.splitStates[route.Name] = state
 	}
 	best, sum := -1, 0
 	for i, target := range route.Targets {
 		sum += target.Weight
-		state.behind[i] += target.Weight
-		if best < 0 || state.behind[i] > state.behind[best] {
+		state.currentWeights[i] += target.Weight
+		if best < 0 || state.currentWeights[i] > state.currentWeights[best] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return ""
 	}
-	state.behind[best] -= sum
+	state.currentWeights[best] -= sum
 	return route.Targets[best].Service
 }
 
@@ -159,7 +159,7 @@
 	for _, route := range c.Routes() {
 		names[route.Name] = true
 	}
-	maps.DeleteFunc(p.splits, func(name coltsfootward.RouteName, _ *splitState) bool { return !names[name] })
+	maps.DeleteFunc(p.splitStates, func(name coltsfootward.RouteName, _ *splitState) bool { return !names[name] })
 	p.node.gates.Forget(func(name coltsfootward.RouteName) bool { return names[name] })
 }
 
@@ -171,54 +171,54 @@
 // or further down the call chain, has no capacity for it. The refusal comes
 // before any work is done for the request. Child calls are never refused here,
 // because the work already done by the requests above them would be lost.
-func (p *entryPart) refusedAtGate(call *entryCall) bool {
+func (p *entryPart) refuseAtGate(call *entryCall) bool {
 	if call.head.Depth > 0 {
 		return false
 	}
-	full, passed := p.node.gates.Admit(call.head.Route, call.head.ShedRank)
-	if passed {
+	full, admitted := p.node.gates.Admit(call.head.Route, call.head.ShedRank)
+	if admitted {
 		return false
 	}
 	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, fmt.Sprintf("service %q, which the request needs, has no room for requests of this importance", full)).
-		WithRetryAfter(p.node.placement.coldReturn(full)+p.node.spread(returnAfter(call.objective))), p.gateEvidence(call, full)...)
+		WithRetryAfter(p.node.placement.coldRetryAfter(full)+p.node.spread(gateRetryAfter(call.objective))), p.gateEvidence(call, full)...)
 	return true
 }
 
 // Bounds for the Retry-After of a caller that is refused at a gate, before
 // jitter.
 const (
-	earliestReturn = 100 * time.Millisecond
-	latestReturn   = time.Second
+	minGateRetryAfter = 100 * time.Millisecond
+	maxGateRetryAfter = time.Second
 	// objectiveDivisor is the number by which the latency objective is divided
 	// to give the Retry-After.
-	returnPart = 3
+	objectiveDivisor = 3
 )
 
 // gateRetryAfter returns when a caller that was refused at a gate may retry,
 // before jitter. A gate always admits part of the demand and adjusts within a
 // second or two, so an early retry is as likely to be admitted as a late one,
 // and its response may still have its full value.
-func returnAfter(objective time.Duration) time.Duration {
-	return min(max(objective/returnPart, earliestReturn), latestReturn)
+func gateRetryAfter(objective time.Duration) time.Duration {
+	return min(max(objective/objectiveDivisor, minGateRetryAfter), maxGateRetryAfter)
 }
 
 // recordChildEnd records how long a child call of the local backend server took
 // and whether it failed.
-func (p *entryPart) callEnded(call *entryCall, failed bool) {
-	if call.ownAttempts && call.head.Depth > 0 {
-		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrived, failed)
+func (p *entryPart) recordChildEnd(call *entryCall, failed bool) {
+	if call.routed && call.head.Depth > 0 {
+		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrivedAt, failed)
 	}
 }
 
 // updateGates adjusts the gates and reports those that have changed.
-func (p *entryPart) moveGates() {
+func (p *entryPart) updateGates() {
 	now := p.node.now.Monotonic
-	p.node.placement.withholdCold()
+	p.node.placement.withholdForCold()
 	p.node.gates.Tick(now)
-	if now < p.nextMoved {
+	if now < p.nextGateReport {
 		return
 	}
-	p.nextMoved = now + movedInterval
+	p.nextGateReport = now + gateReportInterval
 	for _, m := range p.node.gates.Moved(now) {
 		p.node.report(record.GateMoved, field("service", string(m.Service)), field("excess", decimal(m.Excess)),
 			field("age", m.Age.String()), field("passed", decimal(m.Passed)))
@@ -227,6 +227,6 @@
 
 // gateReportInterval is the time between two checks for changed gates, so each
 // gate is reported at most twice a second.
-const movedInterval = 500 * time.Millisecond
+const gateReportInterval = 500 * time.Millisecond
 
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
--- a/core/node/evidence.go
+++ b/core/node/evidence.go
@@ -28,8 +28,8 @@
 		field("organisation", string(call.head.Organisation)),
 		field("priority", string(call.head.Priority)),
 		field("depth", number(call.head.Depth)),
-		field("waited", short(p.node.now.Expiry-call.arrived)),
-		field("left", short(call.deadline-p.node.now.Expiry)),
+		field("waited", rounded(p.node.now.Expiry-call.arrivedAt)),
+		field("left", rounded(call.deadline-p.node.now.Expiry)),
 		field("hops", number(call.hops)),
 		field("sends", number(call.sends)),
 	}
@@ -68,10 +68,10 @@
 	case !view.asked:
 		text += " not asked"
 	default:
-		text += fmt.Sprintf(" %d left %s ago", view.level, short(now-view.told))
+		text += fmt.Sprintf(" %d left %s ago", view.level, rounded(now-view.told))
 	}
 	if wait := view.blockedUntil - now; wait > 0 {
-		text += ", asked again in " + short(wait)
+		text += ", asked again in " + rounded(wait)
 	}
 	return text
 }
@@ -85,25 +85,25 @@
 		field("full", string(service)),
 		field("passed", decimal(state.Passed)),
 		field("excess", decimal(state.Excess)),
-		field("age", short(state.Age)),
+		field("age", rounded(state.Age)),
 		field("rank", number(call.head.ShedRank)),
 		field("limit", number(state.Limit)),
 	}
-	return coldField(fields, p.node.placement.coldReturn(service))
+	return coldField(fields, p.node.placement.coldRetryAfter(service))
 }
 
 // coldField appends how much longer servers are cold, if any are.
-func coldField(fields []record.Field, left time.Duration) []record.Field {
-	if left <= 0 {
+func coldField(fields []record.Field, remaining time.Duration) []record.Field {
+	if remaining <= 0 {
 		return fields
 	}
-	return append(fields, field("cold", short(left)))
+	return append(fields, field("cold", rounded(remaining)))
 }
 
 // targetEvidence returns the log fields that show why no backend server of the
 // call's service could be chosen.
 func (p *entryPart) targetEvidence(call *entryCall) []record.Field {
-	census := p.node.placement.service(call.head.Service).pool.Census(p.node.now.Monotonic, call.tried)
+	census := p.node.placement.poolFor(call.head.Service).pool.Census(p.node.now.Monotonic, call.tried)
 	fields := []record.Field{
 		field("known", number(census.Known)),
 		field("tried", number(census.Tried)),
@@ -112,13 +112,13 @@
 		field("unreachable", number(census.Unreachable)),
 	}
 	if out := p.node.domains.current.Domains; len(out) > 0 {
-		fields = append(fields, field("out_of_service", names(out)))
+		fields = append(fields, field("out_of_service", joinDomains(out)))
 	}
 	return fields
 }
 
 // joinDomains returns the names of failure domains as one text.
-func names(domains []coltsfootward.FailureDomain) string {
+func joinDomains(domains []coltsfootward.FailureDomain) string {
 	var all []string
 	for _, domain := range domains {
 		all = append(all, string(domain))
@@ -138,14 +138,14 @@
 		field("running", number(p.admission.Running())),
 		field("queued", number(p.admission.Queued())),
 		field("limit", number(p.admission.Limit())),
-		field("backlog", short(p.admission.Backlog())),
-		field("waited", short(p.node.now.Expiry-call.arrived)),
-		field("left", short(call.deadline-p.node.now.Expiry)),
+		field("backlog", rounded(p.admission.Backlog())),
+		field("waited", rounded(p.node.now.Expiry-call.arrivedAt)),
+		field("left", rounded(call.deadline-p.node.now.Expiry)),
 	}
-	return coldField(fields, p.coldLeft())
+	return coldField(fields, p.coldRemaining())
 }
 
 // durationPrecision is the precision of durations in evidence fields.
-const shortest = 100 * time.Microsecond
+const durationPrecision = 100 * time.Microsecond
 
-func short(d time.Duration) string { return d.Round(shortest).String() }
+func rounded(d time.Duration) string { return d.Round(durationPrecision).String() }
--- a/core/node/ledger.go
+++ b/core/node/ledger.go
@@ -35,7 +35,7 @@
 
 // allocate takes up to want attempts from the parent's remaining attempts for a
 // child call.
-func (p *ledgerPart) slice(parent *upstreamCall, service coltsfootward.ServiceName, want int) int {
+func (p *ledgerPart) allocate(parent *upstreamCall, service coltsfootward.ServiceName, want int) int {
 	return parent.escrow.Take(service, want, &p.forecast)
 }
 
@@ -54,12 +54,12 @@
 // nextAllocation returns how many of the call's attempts are allocated to its
 // next attempt. Only entry nodes keep a reserve: if every layer did, the
 // reserves would add up to the whole budget.
-func (p *ledgerPart) carry(call *entryCall) int {
-	if call.ownAttempts {
+func (p *ledgerPart) nextAllocation(call *entryCall) int {
+	if call.routed {
 		return 1
 	}
 	left := call.budget - call.attempts
-	if call.parent != "" || !call.mayRetry || call.head.Unrepeatable {
+	if call.parent != "" || !call.retryAllowed || call.head.Unrepeatable {
 		return left
 	}
 	return p.forecast.Carry(call.head.Service, left)
@@ -68,13 +68,13 @@
 // hasEnough reports whether the call has enough attempts left for another try.
 // An attempt sent with fewer than the service needs would fail deeper in the
 // chain, after work has been spent on it.
-func (p *ledgerPart) enough(call *entryCall) bool {
+func (p *ledgerPart) hasEnough(call *entryCall) bool {
 	return call.budget-call.attempts >= p.forecast.Need(call.head.Service)
 }
 
 // recordNeed updates the forecast from a call whose complete response
 // arrived.
-func (p *ledgerPart) answered(call *entryCall, needed int) {
+func (p *ledgerPart) recordNeed(call *entryCall, needed int) {
 	p.forecast.Answered(call.head.Service, needed)
 	if parent, ok := p.requests[call.parent]; ok {
 		parent.escrow.Answered(needed)
@@ -83,7 +83,7 @@
 
 // release returns the unused attempts of a child call to its parent. If the
 // parent has already ended, nothing can use them any more.
-func (p *ledgerPart) giveBack(token CallToken, unused int) {
+func (p *ledgerPart) release(token CallToken, unused int) {
 	if call, ok := p.requests[token]; ok {
 		call.escrow.GiveBack(unused)
 	}
--- a/core/node/overload_test.go
+++ b/core/node/overload_test.go
@@ -11,7 +11,7 @@
 
 // newNodeWithBackend returns a node whose backend server of the service quotes
 // has one slot.
-func newServing(t *testing.T) *single {
+func newNodeWithBackend(t *testing.T) *single {
 	s := newSingle(t)
 	s.configure(coltsfootward.Rate{PerSecond: 1000, Burst: 1000})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 1})
@@ -27,7 +27,7 @@
 }
 
 // dispatchedCalls returns the calls that the actions dispatch.
-func dispatched(actions []node.Action) []node.CallID {
+func dispatchedCalls(actions []node.Action) []node.CallID {
 	var calls []node.CallID
 	for _, action := range actions {
 		if dispatch, ok := action.(node.Dispatch); ok {
@@ -52,9 +52,9 @@
 // calls wait. If the backend server went on with that work, it would be busy
 // with responses that nobody reads just when it is short of slots, and the next
 // callers would time out as well.
-func TestSlotOfALeavingCallerIsFreeAtOnce(t *testing.T) {
-	s := newServing(t)
-	if got := dispatched(s.arrive(1, coltsfootward.PriorityNormal)); len(got) != 1 {
+func TestCancelledCallFreesItsSlot(t *testing.T) {
+	s := newNodeWithBackend(t)
+	if got := dispatchedCalls(s.arrive(1, coltsfootward.PriorityNormal)); len(got) != 1 {
 		t.Fatalf("got %v dispatched, want the first call", got)
 	}
 	s.arrive(2, coltsfootward.PriorityNormal)
@@ -64,7 +64,7 @@
 		t.Errorf("got refusals %+v for a cancelled call in the queue, want one with execution not_run", left)
 	}
 	s.handle(node.CallerLeft{Call: 1})
-	got := dispatched(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchCancelled}))
+	got := dispatchedCalls(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchCancelled}))
 	if len(got) != 1 || got[0] != 3 {
 		t.Errorf("got %v dispatched after the cancellation, want call 3", got)
 	}
@@ -72,12 +72,12 @@
 
 // The server is busy. The call that has waited longest has low priority; the
 // critical one that arrived last must be dispatched first.
-func TestImportantCallGoesFirst(t *testing.T) {
-	s := newServing(t)
+func TestCriticalCallIsDispatchedFirst(t *testing.T) {
+	s := newNodeWithBackend(t)
 	s.arrive(1, coltsfootward.PriorityNormal)
 	s.arrive(2, coltsfootward.PriorityLow)
 	s.arrive(3, coltsfootward.PriorityCritical)
-	got := dispatched(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchAnswered}))
+	got := dispatchedCalls(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchAnswered}))
 	if len(got) != 1 || got[0] != 3 {
 		t.Errorf("got %v dispatched, want call 3", got)
 	}
@@ -87,8 +87,8 @@
 // If the layer above retried too, each layer would multiply the attempts of the
 // one below, and the load would hit the deepest service, which is the
 // overloaded one.
-func TestRefusalOfAFurtherCallIsFinal(t *testing.T) {
-	s := newServing(t)
+func TestRefusedChildCallIsFinal(t *testing.T) {
+	s := newNodeWithBackend(t)
 	s.handle(node.MessageArrived{Message: &message.ConfigurationChanges{Changes: []coltsfootward.Change{
 		{Revision: 4, Service: &coltsfootward.Service{Name: "archive"}},
 	}}})
@@ -111,16 +111,16 @@
 // Every attempt at a service is refused as overloaded. Retries must stop once
 // the retry allowance is used up; after that, the service gets the callers'
 // requests and no more.
-func TestRetriesStopWhenAServiceRefusesEverything(t *testing.T) {
+func TestRetryAllowanceBoundsRetries(t *testing.T) {
 	s := newSingle(t)
 	s.configure(coltsfootward.Rate{PerSecond: 10000, Burst: 10000})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 1})
-	s.meet("north-2")
-	s.meet("north-3")
+	s.addPeer("north-2")
+	s.addPeer("north-3")
 	attempts := 0
 	for call := node.CallID(1); call <= 200; call++ {
 		actions := s.handle(node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1})
-		for forwards(actions) > 0 {
+		for countForwards(actions) > 0 {
 			attempts++
 			actions = s.handle(node.AttemptEnded{Call: call, Kind: node.AttemptRefused,
 				Refusal: coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "busy")})
@@ -135,7 +135,7 @@
 }
 
 // addPeer announces another node with a backend server of quotes to the node.
-func (s *single) meet(id coltsfootward.InstanceID) {
+func (s *single) addPeer(id coltsfootward.InstanceID) {
 	s.handle(node.MessageArrived{From: id, Message: &message.Gossip{News: []message.News{{
 		Announcement: message.Announcement{
 			Instance: coltsfootward.Instance{ID: id, Domain: "north", Address: "127.0.0.1:2", Incarnation: 1},
@@ -145,7 +145,7 @@
 	}}}})
 }
 
-func forwards(actions []node.Action) int {
+func countForwards(actions []node.Action) int {
 	count := 0
 	for _, action := range actions {
 		if _, ok := action.(node.Forward); ok {
--- a/core/node/placement.go
+++ b/core/node/placement.go
@@ -18,7 +18,7 @@
 	started time.Duration
 	pools   map[coltsfootward.ServiceName]*servicePool
 	// serviceOf maps each instance to the service whose pool it belongs to.
-	services map[coltsfootward.InstanceID]coltsfootward.ServiceName
+	serviceOf map[coltsfootward.InstanceID]coltsfootward.ServiceName
 }
 
 // servicePool is the state that the node keeps for one service.
@@ -29,23 +29,23 @@
 	budget retry.Budget
 	// shedSince is when the current period of shedding at entry began; lastShed
 	// is when a request was last shed.
-	shedding, shed time.Duration
+	shedSince, lastShed time.Duration
 }
 
 // startupGrace is the time after its start during which a node treats other
 // servers that it discovers as warm.
-const settling = 5 * time.Second
+const startupGrace = 5 * time.Second
 
 func newPlacementPart(n *Node) *placementPart {
 	return &placementPart{
-		node:     n,
-		started:  n.now.Monotonic,
-		pools:    make(map[coltsfootward.ServiceName]*servicePool),
-		services: make(map[coltsfootward.InstanceID]coltsfootward.ServiceName),
+		node:      n,
+		started:   n.now.Monotonic,
+		pools:     make(map[coltsfootward.ServiceName]*servicePool),
+		serviceOf: make(map[coltsfootward.InstanceID]coltsfootward.ServiceName),
 	}
 }
 
-func (p *placementPart) service(name coltsfootward.ServiceName) *servicePool {
+func (p *placementPart) poolFor(name coltsfootward.ServiceName) *servicePool {
 	s, ok := p.pools[name]
 	if !ok {
 		s = &servicePool{pool: placement.NewPool(p.node.options.Self, p.reachable)}
@@ -68,17 +68,17 @@
 	id := a.Instance.ID
 	now := p.node.now.Monotonic
 	takesWork := a.Service != "" && !a.Draining && !a.Leaving && news.State != message.MemberGone && news.State != message.MemberLeft
-	if service, known := p.services[id]; known && (!takesWork || service != a.Service) {
-		p.service(service).pool.Remove(id)
-		delete(p.services, id)
+	if service, known := p.serviceOf[id]; known && (!takesWork || service != a.Service) {
+		p.poolFor(service).pool.Remove(id)
+		delete(p.serviceOf, id)
 	}
 	if !takesWork {
 		return
 	}
 	restarted := before.Instance.ID != "" && a.Instance.Incarnation > before.Instance.Incarnation
-	joined := before.Service == "" && (now-p.started > settling || id == p.node.options.Self.ID)
-	p.services[id] = a.Service
-	pool := p.service(a.Service).pool
+	joined := before.Service == "" && (now-p.started > startupGrace || id == p.node.options.Self.ID)
+	p.serviceOf[id] = a.Service
+	pool := p.poolFor(a.Service).pool
 	if p.node.options.Routed {
 		// The backend server itself reports how much longer it is cold, so a
 		// server keeps its share if only its node has restarted.
@@ -91,59 +91,59 @@
 
 // choose returns the upstream for the call's next attempt.
 func (p *placementPart) choose(call *entryCall) (coltsfootward.Instance, bool) {
-	return p.service(call.head.Service).pool.Choose(p.node.now.Monotonic, p.node.source, call.tried)
+	return p.poolFor(call.head.Service).pool.Choose(p.node.now.Monotonic, p.node.source, call.tried)
 }
 
 // attemptSent records that the call's attempt was sent.
-func (p *placementPart) sent(call *entryCall) {
-	call.sent = p.node.now.Monotonic
-	p.service(call.head.Service).pool.Sent(call.target)
+func (p *placementPart) attemptSent(call *entryCall) {
+	call.sentAt = p.node.now.Monotonic
+	p.poolFor(call.head.Service).pool.Sent(call.target)
 }
 
 // attemptCancelled records that the call's attempt was cancelled; timeout is
 // set if the deadline had passed.
-func (p *placementPart) left(call *entryCall, timeout bool) {
+func (p *placementPart) attemptCancelled(call *entryCall, timeout bool) {
 	outcome := placement.OutcomeLeft
 	if timeout {
 		outcome = placement.OutcomeFailed
 	}
-	p.end(call, outcome)
+	p.recordEnd(call, outcome)
 }
 
-func (p *placementPart) end(call *entryCall, outcome placement.Outcome) {
+func (p *placementPart) recordEnd(call *entryCall, outcome placement.Outcome) {
 	now := p.node.now.Monotonic
-	p.service(call.head.Service).pool.Ended(now, call.target, outcome, now-call.sent)
+	p.poolFor(call.head.Service).pool.Ended(now, call.target, outcome, now-call.sentAt)
 }
 
-func (p *placementPart) observe(call *entryCall, e AttemptEnded) {
+func (p *placementPart) attemptEnded(call *entryCall, e AttemptEnded) {
 	now := p.node.now.Monotonic
-	s := p.service(call.head.Service)
+	s := p.poolFor(call.head.Service)
 	switch {
 	case e.Kind == AttemptAnswered:
 		s.retries.Succeeded(now)
-		p.end(call, placement.OutcomeAnswered)
+		p.recordEnd(call, placement.OutcomeAnswered)
 	case e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun:
-		p.end(call, placement.OutcomeRefused)
+		p.recordEnd(call, placement.OutcomeRefused)
 	default:
-		p.end(call, placement.OutcomeFailed)
+		p.recordEnd(call, placement.OutcomeFailed)
 	}
 	if e.Kind == AttemptAnswered || e.Kind == AttemptRefused {
 		s.pool.Observe(now, call.target, kindOf(call), e.Load)
-		p.report(call, e.Load)
+		p.reportPressure(call, e.Load)
 	}
 }
 
 // reportPressure passes the load of the services that the request needed, as
 // reported with the response, to the admission gates.
-func (p *placementPart) report(call *entryCall, load message.Load) {
+func (p *placementPart) reportPressure(call *entryCall, load message.Load) {
 	if call.head.Route == "" {
 		return
 	}
-	told := []pressure.Reported{{Service: call.head.Service, Excess: load.Excess, Cost: load.Cost, Cold: load.Cold > 0}}
+	reported := []pressure.Reported{{Service: call.head.Service, Excess: load.Excess, Cost: load.Cost, Cold: load.Cold > 0}}
 	for _, below := range load.Below {
-		told = append(told, pressure.Reported{Service: below.Service, Excess: below.Excess, Cost: below.Cost})
+		reported = append(reported, pressure.Reported{Service: below.Service, Excess: below.Excess, Cost: below.Cost})
 	}
-	p.node.gates.Answered(p.node.now.Monotonic, call.head.Route, told)
+	p.node.gates.Answered(p.node.now.Monotonic, call.head.Route, reported)
 }
 
 func kindOf(call *entryCall) placement.Kind {
@@ -152,14 +152,14 @@
 
 // takeRetry reports whether the service's retry allowance permits one more
 // attempt, and counts the attempt if so.
-func (p *placementPart) mayRetry(service coltsfootward.ServiceName) bool {
-	return p.service(service).retries.Take(p.node.now.Monotonic)
+func (p *placementPart) takeRetry(service coltsfootward.ServiceName) bool {
+	return p.poolFor(service).retries.Take(p.node.now.Monotonic)
 }
 
 // countRequest counts the first attempt of a routed request, from which the
 // retry budget is derived.
-func (p *placementPart) requested(call *entryCall) {
-	s := p.service(call.head.Service)
+func (p *placementPart) countRequest(call *entryCall) {
+	s := p.poolFor(call.head.Service)
 	s.budget.Share = p.node.options.RetryShare
 	s.budget.Saved = p.node.options.RetryCapacity / float64(max(p.node.membership.machine.Size(), 1))
 	s.budget.Requested(p.node.now.Monotonic, call.head.Repeat)
@@ -167,18 +167,18 @@
 
 // takeRoutedRetry reports whether the retry budget permits another attempt of a
 // routed request, and counts the attempt if so.
-func (p *placementPart) mayRepeat(call *entryCall) bool {
-	return p.service(call.head.Service).budget.Take(p.node.now.Monotonic, p.retryKind(call))
+func (p *placementPart) takeRoutedRetry(call *entryCall) bool {
+	return p.poolFor(call.head.Service).budget.Take(p.node.now.Monotonic, p.retryKind(call))
 }
 
 func (p *placementPart) retryKind(call *entryCall) retry.Kind {
-	above := p.node.gates.Needs(call.head.Route) > 1
+	nonLeaf := p.node.gates.Needs(call.head.Route) > 1
 	switch {
-	case call.head.Depth == 0 && !above:
+	case call.head.Depth == 0 && !nonLeaf:
 		return retry.KindCaller
 	case call.head.Depth == 0:
 		return retry.KindCallerAbove
-	case !above:
+	case !nonLeaf:
 		return retry.KindCall
 	default:
 		return retry.KindCallAbove
@@ -186,54 +186,55 @@
 }
 
 // seenServer returns a backend server that has seen the call and rejected it.
-func (p *placementPart) again(call *entryCall) (coltsfootward.Instance, bool) {
-	return p.service(call.head.Service).pool.Instance(call.seenBy[0])
+func (p *placementPart) seenServer(call *entryCall) (coltsfootward.Instance, bool) {
+	return p.poolFor(call.head.Service).pool.Instance(call.seenBy[0])
 }
 
-// sheds reports whether every upstream of the service sheds the call.
-func (p *placementPart) shed(call *entryCall) bool {
+// sheds reports whether every upstream of the service sheds the call, and
+// records the time if so.
+func (p *placementPart) sheds(call *entryCall) bool {
 	now := p.node.now.Monotonic
-	s := p.service(call.head.Service)
+	s := p.poolFor(call.head.Service)
 	if !s.pool.Sheds(now, kindOf(call), call.head.ShedRank) {
 		return false
 	}
-	if now-s.shed > time.Second {
-		s.shedding = now
+	if now-s.lastShed > time.Second {
+		s.shedSince = now
 	}
-	s.shed = now
+	s.lastShed = now
 	return true
 }
 
 // shedDuration returns how long the node has been shedding the service's
 // requests.
-func (p *placementPart) shedFor(service coltsfootward.ServiceName) time.Duration {
-	return p.node.now.Monotonic - p.service(service).shedding
+func (p *placementPart) shedDuration(service coltsfootward.ServiceName) time.Duration {
+	return p.node.now.Monotonic - p.poolFor(service).shedSince
 }
 
 func (p *placementPart) load(id coltsfootward.InstanceID) message.Load {
-	return p.service(p.services[id]).pool.Load(id)
+	return p.poolFor(p.serviceOf[id]).pool.Load(id)
 }
 
 func (p *placementPart) peerLost(id coltsfootward.InstanceID) {
-	if service, ok := p.services[id]; ok {
-		p.service(service).pool.Lost(id)
+	if service, ok := p.serviceOf[id]; ok {
+		p.poolFor(service).pool.Lost(id)
 	}
 }
 
 // coldAdmitFactor sets the fraction of a service's demand that is admitted
 // while servers are cold, as a multiple of the warm fraction of its slots. At
 // 2, nothing is withheld as long as half of the slots are warm.
-const coldDemand = 2.0
+const coldAdmitFactor = 2.0
 
 // withholdForCold closes the gates of services whose servers are mostly cold,
 // as after a power failure that hits all of them. The requests admitted are
 // those that the warm servers have capacity for and the few that cold ones can
 // handle; the rest is refused before any work is done for it.
-func (p *placementPart) withholdCold() {
+func (p *placementPart) withholdForCold() {
 	for name, s := range p.pools {
 		service, _ := p.node.configuration.current.Service(name)
 		s.pool.BoundCold(service.ColdRate > 0)
-		withheld, _ := p.withheldByCold(s)
+		withheld, _ := p.coldShortfall(s)
 		p.node.gates.Withhold(name, withheld)
 	}
 }
@@ -241,17 +242,17 @@
 // coldShortfall returns the fraction of the demand for a service that is
 // withheld because its servers are cold, and the time until all of them are
 // warm.
-func (p *placementPart) withheldByCold(s *servicePool) (part float64, wait time.Duration) {
+func (p *placementPart) coldShortfall(s *servicePool) (fraction float64, wait time.Duration) {
 	warm, wait := s.pool.Warmth(p.node.now.Monotonic)
-	if wait == 0 || coldDemand*warm >= 1 {
+	if wait == 0 || coldAdmitFactor*warm >= 1 {
 		return 0, 0
 	}
-	return 1 - coldDemand*warm, wait
+	return 1 - coldAdmitFactor*warm, wait
 }
 
 // coldRetryAfter returns how much longer a service refuses requests because its
 // servers are cold; zero if it does not.
-func (p *placementPart) coldReturn(service coltsfootward.ServiceName) time.Duration {
-	_, wait := p.withheldByCold(p.service(service))
+func (p *placementPart) coldRetryAfter(service coltsfootward.ServiceName) time.Duration {
+	_, wait := p.coldShortfall(p.poolFor(service))
 	return wait
 }
--- a/core/node/renewal.go
+++ b/core/node/renewal.go
@@ -10,7 +10,7 @@
 // startDeadline returns the time after which the call can no longer be
 // dispatched, by Instant.Expiry; zero means that there is none. A renewable
 // call has none, because a new token is drawn for it.
-func (c *upstreamCall) lastStart() time.Duration {
+func (c *upstreamCall) startDeadline() time.Duration {
 	if c.head.Renewable {
 		return 0
 	}
@@ -23,30 +23,30 @@
 // wait in turn.
 func (p *upstreamPart) renew(call *upstreamCall) {
 	call.renewing = true
-	p.node.rate.acquire(upstreamWaiter{part: p, call: call})
+	p.node.rate.acquire(upstreamWaiter{component: p, call: call})
 }
 
 // admissionRenewed dispatches a call with its new admission.
-func (p *upstreamPart) renewed(call *upstreamCall, granted admission) {
+func (p *upstreamPart) admissionRenewed(call *upstreamCall, granted admission) {
 	call.renewing = false
 	call.startBy = granted.expires
-	if r := p.checkTime(call); r != nil {
-		p.unstarted(call, *r)
+	if r := p.checkDeadlines(call); r != nil {
+		p.refuseUnstarted(call, *r)
 		return
 	}
 	p.dispatch(call)
 }
 
 // renewalRefused refuses a call that the organisation's rate no longer allows.
-func (p *upstreamPart) notRenewed(call *upstreamCall, retryAfter time.Duration) {
+func (p *upstreamPart) renewalRefused(call *upstreamCall, retryAfter time.Duration) {
 	call.renewing = false
-	p.unstarted(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate,
+	p.refuseUnstarted(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate,
 		"the organisation was above its rate and burst when the request's turn came").WithRetryAfter(retryAfter))
 }
 
 // refuseUnstarted refuses a call that held a slot but was not dispatched, and
 // frees the slot.
-func (p *upstreamPart) unstarted(call *upstreamCall, r coltsfootward.Refusal) {
+func (p *upstreamPart) refuseUnstarted(call *upstreamCall, r coltsfootward.Refusal) {
 	p.admission.Unsent(admissioncontrol.RequestID(call.id))
 	p.refuse(call, r)
 	p.start()
--- a/core/node/shed_rank.go
+++ b/core/node/shed_rank.go
@@ -26,13 +26,13 @@
 
 // secondaryShift is the bit position of the secondary priority in a routed
 // request's rank.
-const secondShift = 26
+const secondaryShift = 26
 
 // RoutedRank orders the requests of a routed deployment for shedding: by the
 // organisation's priority, if it has one, then by the route's priority, then by
 // a hash. If all organisations have the same priority, the route's decides.
-func RoutedRank(priority, second coltsfootward.Priority, organisation coltsfootward.OrganisationName, request coltsfootward.RequestID) uint32 {
-	return uint32(priority.Rank())<<shedHashBits | uint32(second.Rank())<<secondShift | requestHash(organisation, request, secondShift)
+func RoutedRank(priority, secondary coltsfootward.Priority, organisation coltsfootward.OrganisationName, request coltsfootward.RequestID) uint32 {
+	return uint32(priority.Rank())<<shedHashBits | uint32(secondary.Rank())<<secondaryShift | requestHash(organisation, request, secondaryShift)
 }
 
 // agingLimit bounds the number of retries that improve a request's rank.
@@ -45,7 +45,7 @@
 // overstates its number of retries only gets ahead of requests of its own
 // organisation, because turns between organisations do not depend on the rank.
 func agedRank(rank uint32, attempt int) uint32 {
-	class := rank &^ (1<<shedHashBits - 1)
+	priorityBits := rank &^ (1<<shedHashBits - 1)
 	hash := rank & (1<<shedHashBits - 1)
-	return class | hash>>min(max(attempt-1, 0), agingLimit)
+	return priorityBits | hash>>min(max(attempt-1, 0), agingLimit)
 }
--- a/core/node/token_waiter.go
+++ b/core/node/token_waiter.go
@@ -19,20 +19,20 @@
 
 // entryWaiter waits on behalf of a request on its entry node.
 type entryWaiter struct {
-	part *entryPart
-	call *entryCall
+	component *entryPart
+	call      *entryCall
 }
 
 func (w entryWaiter) organisation() coltsfootward.OrganisationName { return w.call.head.Organisation }
 
 func (w entryWaiter) waits() bool {
-	return w.part.calls[w.call.id] == w.call && !w.call.running && !w.call.answered
+	return w.component.calls[w.call.id] == w.call && !w.call.inFlight && !w.call.answered
 }
 
-func (w entryWaiter) admitted(granted admission) { w.part.admitted(w.call, granted) }
+func (w entryWaiter) admitted(granted admission) { w.component.admitted(w.call, granted) }
 
 func (w entryWaiter) overRate(retryAfter time.Duration, evidence []record.Field) {
-	w.part.overRate(w.call, retryAfter, evidence)
+	w.component.refuseOverRate(w.call, retryAfter, evidence)
 }
 
 // upstreamWaiter waits on behalf of a call whose admission expired before its
@@ -44,18 +44,20 @@
 // although the backend server has time for them. The first token counts as
 // spent, so the bound on the rate holds.
 type upstreamWaiter struct {
-	part *upstreamPart
-	call *upstreamCall
+	component *upstreamPart
+	call      *upstreamCall
 }
 
 func (w upstreamWaiter) organisation() coltsfootward.OrganisationName {
 	return w.call.head.Organisation
 }
 
-func (w upstreamWaiter) waits() bool { return w.part.calls[w.call.id] == w.call && w.call.renewing }
+func (w upstreamWaiter) waits() bool {
+	return w.component.calls[w.call.id] == w.call && w.call.renewing
+}
 
-func (w upstreamWaiter) admitted(granted admission) { w.part.renewed(w.call, granted) }
+func (w upstreamWaiter) admitted(granted admission) { w.component.admissionRenewed(w.call, granted) }
 
 func (w upstreamWaiter) overRate(retryAfter time.Duration, _ []record.Field) {
-	w.part.notRenewed(w.call, retryAfter)
+	w.component.renewalRefused(w.call, retryAfter)
 }
--- a/core/node/upstream.go
+++ b/core/node/upstream.go
@@ -14,9 +14,9 @@
 
 // upstreamCall is a call for the local backend server.
 type upstreamCall struct {
-	id      CallID
-	head    message.Call
-	arrived time.Duration
+	id        CallID
+	head      message.Call
+	arrivedAt time.Duration
 	// deadline is the caller's deadline, by Instant.Expiry.
 	deadline time.Duration
 	// startBy is when the call's admission expires, by Instant.Expiry; zero
@@ -28,7 +28,7 @@
 	// token is set once the call has been dispatched.
 	token CallToken
 	// dispatchedAt is when the call was dispatched, by Instant.Monotonic.
-	began time.Duration
+	dispatchedAt time.Duration
 	// escrow holds the attempts that child calls may still use.
 	escrow *attempt.Escrow
 	// childRefused is set once a child call of the request was refused;
@@ -44,20 +44,20 @@
 	node      *Node
 	calls     map[CallID]*upstreamCall
 	admission *admissioncontrol.Controller
-	cold      coldPart
+	cold      coldTracker
 	// inFlight counts the requests that the backend server is processing;
 	// inFlightRetries counts those of them that are retries.
-	dispatched, repeated int
+	inFlight, inFlightRetries int
 	// overloaded and reportedLimit are the values reported last;
 	// nextLimitReport is when the limit may be reported again.
-	overloaded    bool
-	reportedLimit int
-	nextReport    time.Duration
+	overloaded      bool
+	reportedLimit   int
+	nextLimitReport time.Duration
 }
 
 func newUpstreamPart(n *Node) *upstreamPart {
 	p := &upstreamPart{node: n, calls: make(map[CallID]*upstreamCall), admission: admissioncontrol.NewController(0)}
-	p.cold = coldPart{node: n, began: n.now.Monotonic}
+	p.cold = coldTracker{node: n, startedAt: n.now.Monotonic}
 	if n.options.Routed {
 		p.admission.FixLimit()
 		p.admission.LetDeepWait()
@@ -70,11 +70,11 @@
 func (p *upstreamPart) arrived(e PeerCallArrived) {
 	now := p.node.now.Expiry
 	call := &upstreamCall{
-		id:       e.Call,
-		head:     e.Head,
-		arrived:  now,
-		deadline: now + e.Head.Timeout - e.Age,
-		escrow:   attempt.NewEscrow(e.Head.Budget),
+		id:        e.Call,
+		head:      e.Head,
+		arrivedAt: now,
+		deadline:  now + e.Head.Timeout - e.Age,
+		escrow:    attempt.NewEscrow(e.Head.Budget),
 	}
 	if e.Head.StartWithin > 0 {
 		call.startBy = now + e.Head.StartWithin - e.Age
@@ -84,8 +84,8 @@
 		p.refuse(call, *r)
 		return
 	}
-	p.measure()
-	if !p.cold.bounded() {
+	p.observeLoad()
+	if !p.cold.rateLimited() {
 		p.node.meter.Arrived(p.admission.Estimate(classOf(call.head)))
 	}
 	p.cold.refresh()
@@ -97,20 +97,20 @@
 // start dispatches queued calls while the backend server has capacity.
 func (p *upstreamPart) start() {
 	if p.node.options.Routed && p.node.membership.local.Draining {
-		p.turnAway("the backend server takes no new work")
+		p.refuseQueued("the backend server takes no new work")
 	}
 	if p.node.domains.ownOut() {
-		p.turnAway(outOfServiceText)
+		p.refuseQueued(outOfServiceText)
 	}
 	p.admission.SetSlots(p.node.membership.local.Slots)
 	p.cold.refresh()
-	for p.cold.allows() {
+	for p.cold.mayStart() {
 		next, ok := p.admission.Next(p.node.now.Expiry)
 		if !ok {
 			return
 		}
 		call := p.calls[CallID(next.ID)]
-		if r := p.checkTime(call); r != nil {
+		if r := p.checkDeadlines(call); r != nil {
 			p.admission.Unsent(next.ID)
 			p.refuse(call, *r)
 			continue
@@ -129,15 +129,15 @@
 func (p *upstreamPart) domainsChanged(before coltsfootward.OutOfService) {
 	own := p.node.options.Self.Domain
 	if before.Has(own) && !p.node.domains.current.Has(own) {
-		p.cold.suspect()
+		p.cold.assumeCold()
 	}
 	p.start()
 }
 
 // coldRemaining returns how much longer the rate of requests to the cold
 // backend server is limited.
-func (p *upstreamPart) coldLeft() time.Duration {
-	if !p.cold.bounded() {
+func (p *upstreamPart) coldRemaining() time.Duration {
+	if !p.cold.rateLimited() {
 		return 0
 	}
 	return p.cold.left()
@@ -151,7 +151,7 @@
 // no more requests. If they were dispatched in their turn, they could reach the
 // server long after the end of its work was acknowledged; a call refused now
 // can go to another server.
-func (p *upstreamPart) turnAway(detail string) {
+func (p *upstreamPart) refuseQueued(detail string) {
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
 		if call.token == "" && p.admission.Withdraw(admissioncontrol.RequestID(id)) {
@@ -163,9 +163,9 @@
 func (p *upstreamPart) dispatch(call *upstreamCall) {
 	call.token = p.node.newCallToken()
 	p.node.ledger.open(call)
-	call.began = p.node.now.Monotonic
-	p.countDispatched(call, 1)
-	p.cold.started()
+	call.dispatchedAt = p.node.now.Monotonic
+	p.addInFlight(call, 1)
+	p.cold.recordStart()
 	p.node.act(Dispatch{
 		Call:         call.id,
 		Token:        call.token,
@@ -175,21 +175,21 @@
 	})
 }
 
-func (p *upstreamPart) countDispatched(call *upstreamCall, change int) {
-	p.dispatched += change
+func (p *upstreamPart) addInFlight(call *upstreamCall, change int) {
+	p.inFlight += change
 	if call.head.Repeat {
-		p.repeated += change
+		p.inFlightRetries += change
 	}
 }
 
 // inFlightRetryRatio returns the fraction of the backend server's requests in
 // flight that are retries. Child calls do not name the request that they are
 // made for, so the same fraction of them is assumed to belong to retries.
-func (p *upstreamPart) repeatedPart() float64 {
-	if p.dispatched == 0 {
+func (p *upstreamPart) inFlightRetryRatio() float64 {
+	if p.inFlight == 0 {
 		return 0
 	}
-	return float64(p.repeated) / float64(p.dispatched)
+	return float64(p.inFlightRetries) / float64(p.inFlight)
 }
 
 // refuseShed refuses the calls that admission control has shed since it was
@@ -210,7 +210,7 @@
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, text).
 			WithRetryAfter(p.node.spread(p.admission.ReturnAfter(p.node.now.Expiry)))
 		if shed.Reason == admissioncontrol.ReasonCold {
-			r = p.cold.refusal(r)
+			r = p.cold.withRetryAfter(r)
 		}
 		p.refuse(p.calls[CallID(shed.Request.ID)], r)
 	}
@@ -222,7 +222,7 @@
 	if p.admission.Queued() > 0 {
 		p.start()
 	}
-	p.measure()
+	p.observeLoad()
 	p.node.throttle.Observe(p.node.now.Monotonic, p.node.meter.Ratio(p.admission.Limit()))
 	p.refuseShed()
 	p.reportOverload()
--- a/core/node/upstream_end.go
+++ b/core/node/upstream_end.go
@@ -11,12 +11,12 @@
 	if !ok {
 		return
 	}
-	p.measure()
-	p.cold.ended(e.Kind)
+	p.observeLoad()
+	p.cold.dispatchEnded(e.Kind)
 	p.node.ledger.close(call)
-	p.countDispatched(call, -1)
+	p.addInFlight(call, -1)
 	if call.head.Route != "" {
-		p.node.callees.Ended(p.node.now.Monotonic, call.began, call.head.Route, e.Failed)
+		p.node.callees.Ended(p.node.now.Monotonic, call.dispatchedAt, call.head.Route, e.Failed)
 	}
 	if e.Kind == DispatchUnsent {
 		p.admission.Unsent(admissioncontrol.RequestID(call.id))
@@ -28,9 +28,9 @@
 		p.refuse(call, coltsfootward.NewRefusal(coltsfootward.RefusalConnectionLost, "the backend server could not be reached"))
 	case DispatchRejected:
 		p.node.meter.Rejected(p.admission.Estimate(classOf(call.head)))
-		p.rejected(call)
+		p.refuseRejected(call)
 	case DispatchFailed:
-		p.refuse(call, p.failed(call))
+		p.refuse(call, p.failureRefusal(call))
 	case DispatchTimeout:
 		p.refuse(call, coltsfootward.NewRefusal(coltsfootward.RefusalTimeout, "the caller's time ran out while the request ran").
 			WithExecution(coltsfootward.ExecutionUnknown))
@@ -46,15 +46,15 @@
 
 // refuseRejected answers a call that the backend server reported not to have
 // run. The server has seen it, so it counts as an attempt.
-func (p *upstreamPart) rejected(call *upstreamCall) {
+func (p *upstreamPart) refuseRejected(call *upstreamCall) {
 	delete(p.calls, call.id)
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the backend server rejected the request without running it").
 		WithRetryAfter(p.node.spread(p.admission.ReturnAfter(p.node.now.Expiry)))
-	p.answerRefused(call, r, 1)
+	p.sendRefusal(call, r, 1)
 }
 
 // sendRefusal sends a call's refusal to the peer and logs it.
-func (p *upstreamPart) answerRefused(call *upstreamCall, r coltsfootward.Refusal, attempts int) {
+func (p *upstreamPart) sendRefusal(call *upstreamCall, r coltsfootward.Refusal, attempts int) {
 	p.node.report(record.CallRefused, append(refusalFields(call.head.Request, r), p.evidence(call)...)...)
 	p.node.act(Refuse{Call: call.id, Refusal: r, Load: p.load(call.head), Attempts: attempts})
 }
@@ -67,7 +67,7 @@
 // often as is allowed. If each layer above did the same, attempts would
 // multiply with the depth of the chain just when the deepest service is
 // overloaded.
-func (p *upstreamPart) failed(call *upstreamCall) coltsfootward.Refusal {
+func (p *upstreamPart) failureRefusal(call *upstreamCall) coltsfootward.Refusal {
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalUpstreamFailed, "the backend server broke off").
 		WithExecution(coltsfootward.ExecutionUnknown)
 	if call.childRefused {
@@ -111,5 +111,5 @@
 	if r.Execution != coltsfootward.ExecutionNotRun {
 		used = call.escrow.Used()
 	}
-	p.answerRefused(call, r, used)
+	p.sendRefusal(call, r, used)
 }
--- a/core/node/upstream_load.go
+++ b/core/node/upstream_load.go
@@ -10,7 +10,7 @@
 // observeLoad records the backend server's load since the last observation. It
 // is called before each change of the load, so the interval between two
 // observations does not matter.
-func (p *upstreamPart) measure() {
+func (p *upstreamPart) observeLoad() {
 	p.node.meter.Observe(p.node.now.Monotonic, p.admission.Running(), p.admission.Backlog())
 }
 
@@ -32,7 +32,7 @@
 // server announced and that has been reported as such.
 func (p *upstreamPart) reportLimit() {
 	limit, now := p.admission.Limit(), p.node.now.Monotonic
-	if limit == p.reportedLimit || now < p.nextReport {
+	if limit == p.reportedLimit || now < p.nextLimitReport {
 		return
 	}
 	first := p.reportedLimit == 0
@@ -40,7 +40,7 @@
 	if first {
 		return
 	}
-	p.nextReport = now + time.Second
+	p.nextLimitReport = now + time.Second
 	p.node.report(record.LimitChanged, field("limit", number(limit)), field("slots", number(p.node.membership.local.Slots)))
 }
 
@@ -67,7 +67,7 @@
 		Running: p.admission.Running(),
 		Queued:  p.admission.Queued(),
 		Limit:   p.admission.Limit(),
-		Cold:    p.coldLeft(),
+		Cold:    p.coldRemaining(),
 		Excess:  p.node.throttle.Excess(),
 		Cost:    p.admission.Estimate(classOf(head)).Seconds(),
 	}
--- a/core/node/upstream_queue.go
+++ b/core/node/upstream_queue.go
@@ -20,9 +20,9 @@
 		Organisation: call.head.Organisation,
 		Weight:       organisation.Rate.PerSecond,
 		Class:        classOf(call.head),
-		Arrived:      call.arrived,
+		Arrived:      call.arrivedAt,
 		Deadline:     call.deadline,
-		StartBy:      call.lastStart(),
+		StartBy:      call.startDeadline(),
 		Repeatable:   !call.head.Unrepeatable,
 	}
 }
@@ -76,10 +76,10 @@
 	if call.head.Budget < 1 {
 		return refusal(coltsfootward.RefusalAttempts, "the chain has used its attempts")
 	}
-	return p.checkTime(call)
+	return p.checkDeadlines(call)
 }
 
-func (p *upstreamPart) checkTime(call *upstreamCall) *coltsfootward.Refusal {
+func (p *upstreamPart) checkDeadlines(call *upstreamCall) *coltsfootward.Refusal {
 	now := p.node.now.Expiry
 	if now >= call.deadline {
 		return refusal(coltsfootward.RefusalTimeout, "the caller's time ran out before the request started")
@@ -88,7 +88,7 @@
 	// would start work in addition to what the organisation's rate has
 	// meanwhile been charged for elsewhere. The admission's short lifetime
 	// prevents that: an older call is not dispatched.
-	if last := call.lastStart(); last != 0 && now >= last {
+	if last := call.startDeadline(); last != 0 && now >= last {
 		return refusal(coltsfootward.RefusalStale, "the request waited longer than its admission lasts")
 	}
 	return nil
