--- a/core/node/entry.go
+++ b/core/node/entry.go
@@ -8,97 +8,106 @@
 	"coltsfootward/core/message"
 )
 
-// retryAfterSpread is the longest time that a refused caller is asked to stay
-// away without a better estimate. Answers are spread over it, so that callers
-// refused together do not return together.
-const retryAfterSpread = 2 * time.Second
+// retryAfterJitter is the width of the range from which spreadRetryAfter chooses
+// a Retry-After at random when there is no better estimate, so that callers that
+// are refused together do not return together.
+const retryAfterJitter = 2 * time.Second
 
-// The bounds of what a caller shed at entry is told, before spreading. In
-// between it is as long as the node has been shedding: an overload that has
-// lasted for a while is likely to last about as long again. The upper bound is
-// short because a refusal at entry costs microseconds, and callers that are
-// asked to stay away longer than they wait are lost.
+// Bounds for the Retry-After of a call that is shed at entry, before jitter.
+// Between them it equals the time for which the node has been shedding: an
+// overload that has lasted for a while is likely to last about as long again.
+// The upper bound is short because a refusal at entry costs microseconds, while
+// callers that are asked to stay away for longer than they are willing to wait
+// give up.
 const (
-	shortestRetryAfter = time.Second
-	longestRetryAfter  = 1500 * time.Millisecond
+	minRetryAfter = time.Second
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
-// entryCall is a request at the node that its caller reached.
+// entryCall is a request on its entry node, the node that received it from the
+// caller.
 type entryCall struct {
-	id      CallID
-	head    message.Call
-	arrived time.Duration
-	// deadline is when the caller's time ends, by Instant.Expiry.
+	id        CallID
+	head      message.Call
+	arrivedAt time.Duration
+	// deadline is the caller's deadline, by Instant.Expiry.
 	deadline time.Duration
-	// timeout is how long the request may wait for an answer to begin.
+	// timeout is how long the request may wait for a response to begin.
 	timeout time.Duration
-	// parent is the token of the request being served that made this call.
+	// parent is the token of the request in service that made this child call;
+	// empty for requests of callers.
 	parent CallToken
-	// attempts is how many attempts have been used so far.
+	// attempts is the number of attempts used so far.
 	attempts int
-	// budget is how many attempts may be used in all.
+	// budget is the total number of attempts that may be used.
 	budget int
-	// carried is how many attempts the one under way may use.
-	carried int
-	// mayRetry is cleared for the repeats of a caller, which retries already.
-	mayRetry bool
+	// allocation is the number of attempts allocated to the attempt in flight
+	// and the child calls below it.
+	allocation int
+	// retryAllowed is false for retries by the caller: retries on both sides
+	// would multiply.
+	retryAllowed bool
 	// tried holds the instances that have refused or lost the call.
 	tried map[coltsfootward.InstanceID]bool
-	// target is where the attempt under way went.
+	// target is the destination of the current or latest attempt.
 	target coltsfootward.InstanceID
-	// sent is when it went there, by Instant.Monotonic.
-	sent time.Duration
-	// running is set while an attempt is under way.
-	running bool
-	// doubtful is set once an attempt may have run.
-	doubtful bool
-	// last is the refusal that the latest attempt ended with; its kind is empty
-	// before that.
-	last coltsfootward.Refusal
-	// answered is set once an answer has begun; from then on nothing is retried.
+	// sentAt is when the latest attempt was sent, by Instant.Monotonic.
+	sentAt time.Duration
+	// inFlight is set while an attempt is in flight.
+	inFlight bool
+	// mayHaveRun is set once the execution of an attempt cannot be ruled out.
+	mayHaveRun bool
+	// lastRefusal is the refusal that ended the latest attempt; its kind is
+	// empty until an attempt has been refused.
+	lastRefusal coltsfootward.Refusal
+	// answered is set once a response has begun. The request is not retried
+	// after that, except to resume a truncated response.
 	answered bool
-	// claim is set while the call holds or asks for a claim on its key.
+	// claim is set while the call holds or requests a claim on its idempotency
+	// key.
 	claim *entryClaim
 	// body is a digest of the request's body.
 	body uint64
-	// admission is what entitles the next attempt to start.
+	// admission entitles the next attempt to start.
 	admission admission
-	// objective is the latency up to which an answer has its full worth; zero
-	// means that there is none.
+	// objective is the latency up to which a response has its full value; zero
+	// means that none is set.
 	objective time.Duration
-	// unmetered requests are on nobody's rate.
-	unmetered bool
-	// metered is set once the request was charged to its organisation's rate; a
-	// routed request is charged once, however often it is attempted.
-	metered bool
-	// ownAttempts is set if budget bounds the backend servers that this request
-	// is sent to, and not the attempts of the whole chain.
-	ownAttempts bool
-	// seenBy lists the backend servers that have seen the request, and sends is
-	// how often they have.
+	// rateExempt requests are not charged to any organisation's rate.
+	rateExempt bool
+	// charged is set once the request has been charged to its organisation's
+	// rate. A routed request is charged once, however often it is attempted.
+	charged bool
+	// routed is set if the request was routed by host and path. For such a
+	// request, budget bounds the number of backend servers that may see it, not
+	// the attempts of the whole call chain.
+	routed bool
+	// seenBy lists the backend servers that have seen the request; sends counts
+	// how often they have seen it.
 	seenBy []coltsfootward.InstanceID
 	sends  int
-	// hops counts the attempts of the request, those that no backend server saw
-	// included.
+	// hops counts all attempts of the request, including those that no backend
+	// server saw.
 	hops int
 }
 
-// entryPart takes requests from callers and from the local backend server and
-// sees each of them to one final answer.
+// entryPart receives requests from callers and from the local backend server
+// and ends each of them with exactly one response or refusal.
 type entryPart struct {
 	node  *Node
 	calls map[CallID]*entryCall
-	// splits holds the turn of each route with several targets.
-	splits map[coltsfootward.RouteName]*splitState
-	// nextMoved is when to look again which gates have moved.
-	nextMoved time.Duration
+	// splitStates holds the weighted round-robin state of each route with
+	// several targets.
+	splitStates map[coltsfootward.RouteName]*splitState
+	// nextGateReport is when to check again which gates have changed.
+	nextGateReport time.Duration
 }
 
 func newEntryPart(n *Node) *entryPart {
 	return &entryPart{
-		node:   n,
-		calls:  make(map[CallID]*entryCall),
-		splits: make(map[coltsfootward.RouteName]*splitState),
+		node:        n,
+		calls:       make(map[CallID]*entryCall),
+		splitStates: make(map[coltsfootward.RouteName]*splitState),
 	}
 }
 
@@ -114,14 +123,14 @@
 	if p.shedAtEntry(call) {
 		return
 	}
-	if call.head.IdempotencyKey != "" && call.head.Unrepeatable && !call.ownAttempts {
+	if call.head.IdempotencyKey != "" && call.head.Unrepeatable && !call.routed {
 		p.node.claims.claim(call)
 		return
 	}
 	p.claimed(call)
 }
 
-// open checks who calls and what, and returns the call to serve.
+// open authenticates and validates a request and returns the call to serve.
 func (p *entryPart) open(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	if e.Routed {
 		return p.openRouted(e)
@@ -136,35 +145,36 @@
 	if refused != nil {
 		return nil, refused
 	}
-	call, refused := p.build(e, key.Organisation)
+	call, refused := p.newCall(e, key.Organisation)
 	if refused != nil {
 		return nil, refused
 	}
-	call.mayRetry = e.Attempt <= 1
-	call.head.NoRetries = !call.mayRetry
+	call.retryAllowed = e.Attempt <= 1
+	call.head.NoRetries = !call.retryAllowed
 	call.head.ShedRank = agedRank(call.head.ShedRank, e.Attempt)
 	return call, nil
 }
 
-// openChild opens a call that the local backend server makes while it serves
-// another. Its attempts come out of the parent's.
+// openChild opens a child call: a call that the local backend server makes
+// while it serves another request. Its attempts are taken from the parent's
+// budget.
 func (p *entryPart) openChild(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	parent, ok := p.node.ledger.parent(e.Token)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalCallToken, "the call token belongs to no request being served")
 	}
-	call, refused := p.build(e, parent.head.Organisation)
+	call, refused := p.newCall(e, parent.head.Organisation)
 	if refused != nil {
 		return nil, refused
 	}
-	slice := p.node.ledger.slice(parent, e.Service, call.budget)
-	if slice == 0 {
+	allocated := p.node.ledger.allocate(parent, e.Service, call.budget)
+	if allocated == 0 {
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalAttempts, "the chain has used its attempts").WithFinal()
 		return nil, &r
 	}
-	call.budget = slice
+	call.budget = allocated
 	call.parent = e.Token
-	call.mayRetry = !parent.head.NoRetries
+	call.retryAllowed = !parent.head.NoRetries
 	call.head.NoRetries = parent.head.NoRetries
 	call.deadline = min(call.deadline, parent.deadline)
 	call.head.Request = parent.head.Request
@@ -174,7 +184,7 @@
 	return call, nil
 }
 
-func (p *entryPart) build(e RequestArrived, organisation coltsfootward.OrganisationName) (*entryCall, *coltsfootward.Refusal) {
+func (p *entryPart) newCall(e RequestArrived, organisation coltsfootward.OrganisationName) (*entryCall, *coltsfootward.Refusal) {
 	service, ok := p.node.configuration.current.Service(e.Service)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalUnknownService, fmt.Sprintf("there is no service %q", e.Service))
@@ -183,13 +193,13 @@
 	request := p.node.newRequestID()
 	timeout := p.timeout(e.Timeout, service.Timeout)
 	call := &entryCall{
-		id:       e.Call,
-		arrived:  p.node.now.Expiry,
-		deadline: p.node.now.Expiry + timeout,
-		timeout:  timeout,
-		budget:   p.node.options.Attempts,
-		tried:    make(map[coltsfootward.InstanceID]bool),
-		body:     e.Body,
+		id:        e.Call,
+		arrivedAt: p.node.now.Expiry,
+		deadline:  p.node.now.Expiry + timeout,
+		timeout:   timeout,
+		budget:    p.node.options.Attempts,
+		tried:     make(map[coltsfootward.InstanceID]bool),
+		body:      e.Body,
 	}
 	if service.Attempts > 0 {
 		call.budget = service.Attempts
@@ -208,36 +218,37 @@
 	return call, nil
 }
 
-func (p *entryPart) timeout(asked, service time.Duration) time.Duration {
+func (p *entryPart) timeout(requested, service time.Duration) time.Duration {
 	timeout := p.node.options.Timeout
 	if service > 0 {
 		timeout = service
 	}
-	if asked > 0 {
-		timeout = asked
+	if requested > 0 {
+		timeout = requested
 	}
 	return min(timeout, p.node.options.MaximumTimeout)
 }
 
 // shedAtEntry refuses a call that the upstreams would shed, before any work is
-// done for it. Under overload each hop that a doomed request takes is capacity
-// lost to the requests that will be answered.
+// done for it. Under overload, each hop taken by a request that will be shed
+// anyway is capacity lost to the requests that will be answered.
 func (p *entryPart) shedAtEntry(call *entryCall) bool {
-	if call.ownAttempts {
-		return p.refusedAtGate(call)
+	if call.routed {
+		return p.refuseAtGate(call)
 	}
-	if !p.node.placement.shed(call) {
+	if !p.node.placement.sheds(call) {
 		return false
 	}
-	retryAfter := max(p.node.placement.shedFor(call.head.Service), shortestRetryAfter)
+	retryAfter := max(p.node.placement.shedDuration(call.head.Service), minRetryAfter)
 	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the service sheds requests of this importance").
-		WithRetryAfter(p.node.spread(min(retryAfter, longestRetryAfter))))
+		WithRetryAfter(p.node.spread(min(retryAfter, maxRetryAfter))))
 	return true
 }
 
-// claimed goes on once nothing else runs under the call's idempotency key.
+// claimed continues a call once no other request runs under its idempotency
+// key.
 func (p *entryPart) claimed(call *entryCall) {
-	p.attempt(call)
+	p.startAttempt(call)
 }
 
 func refusal(kind coltsfootward.RefusalKind, detail string) *coltsfootward.Refusal {
@@ -250,12 +261,12 @@
 }
 
 func (n *Node) spreadRetryAfter() time.Duration {
-	return retryAfterSpread/4 + time.Duration(n.source.Int64N(int64(retryAfterSpread)))
+	return retryAfterJitter/4 + time.Duration(n.source.Int64N(int64(retryAfterJitter)))
 }
 
-// spread returns a time around d, up to a quarter less or more, so that
-// callers refused together do not return together. A wider spread would ask
-// some back after they have given up.
+// spread applies a jitter of up to a quarter less or more to d, so that callers
+// that are refused together do not return together. With a wider jitter some
+// callers would be asked to return after they have given up.
 func (n *Node) spread(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(n.source.Int64N(int64(max(d/2, 1))))
 }
--- a/core/node/upstream.go
+++ b/core/node/upstream.go
@@ -14,47 +14,50 @@
 
 // upstreamCall is a call for the local backend server.
 type upstreamCall struct {
-	id      CallID
-	head    message.Call
-	arrived time.Duration
-	// deadline is when the caller's time ends, by Instant.Expiry.
+	id        CallID
+	head      message.Call
+	arrivedAt time.Duration
+	// deadline is the caller's deadline, by Instant.Expiry.
 	deadline time.Duration
-	// startBy is when the call's admission ends, by Instant.Expiry; zero means never.
+	// startBy is when the call's admission expires, by Instant.Expiry; zero
+	// means never.
 	startBy time.Duration
-	// renewing is set while the call holds a slot and waits for a new admission.
+	// renewing is set while the call holds a slot and waits for a new
+	// admission.
 	renewing bool
 	// token is set once the call has been dispatched.
 	token CallToken
-	// began is when it was dispatched, by Instant.Monotonic.
-	began time.Duration
-	// escrow holds the attempts that the calls below may still use.
+	// dispatchedAt is when the call was dispatched, by Instant.Monotonic.
+	dispatchedAt time.Duration
+	// escrow holds the attempts that child calls may still use.
 	escrow *attempt.Escrow
-	// childRefused is set once a further call of the request was refused, and
-	// childRetryAfter is when that one may come back.
+	// childRefused is set once a child call of the request was refused;
+	// childRetryAfter is the Retry-After of that refusal.
 	childRefused    bool
 	childRetryAfter time.Duration
 }
 
-// upstreamPart stands before the local backend server: every request for it
-// passes here, so what was never started is known for certain.
+// upstreamPart queues and dispatches all requests for the local backend server.
+// Because every request passes through it, the node knows for certain which
+// ones were never started.
 type upstreamPart struct {
 	node      *Node
 	calls     map[CallID]*upstreamCall
 	admission *admissioncontrol.Controller
-	cold      coldPart
-	// dispatched counts the routed requests that the backend server has in hand,
-	// repeated those of them that are repeats.
-	dispatched, repeated int
-	// overloaded and reportedLimit are what was reported last, nextReport is
-	// when the limit may be reported again.
-	overloaded    bool
-	reportedLimit int
-	nextReport    time.Duration
+	cold      coldTracker
+	// inFlight counts the requests that the backend server is processing;
+	// inFlightRetries counts those of them that are retries.
+	inFlight, inFlightRetries int
+	// overloaded and reportedLimit are the values reported last;
+	// nextLimitReport is when the limit may be reported again.
+	overloaded      bool
+	reportedLimit   int
+	nextLimitReport time.Duration
 }
 
 func newUpstreamPart(n *Node) *upstreamPart {
 	p := &upstreamPart{node: n, calls: make(map[CallID]*upstreamCall), admission: admissioncontrol.NewController(0)}
-	p.cold = coldPart{node: n, began: n.now.Monotonic}
+	p.cold = coldTracker{node: n, startedAt: n.now.Monotonic}
 	if n.options.Routed {
 		p.admission.FixLimit()
 		p.admission.LetDeepWait()
@@ -67,11 +70,11 @@
 func (p *upstreamPart) arrived(e PeerCallArrived) {
 	now := p.node.now.Expiry
 	call := &upstreamCall{
-		id:       e.Call,
-		head:     e.Head,
-		arrived:  now,
-		deadline: now + e.Head.Timeout - e.Age,
-		escrow:   attempt.NewEscrow(e.Head.Budget),
+		id:        e.Call,
+		head:      e.Head,
+		arrivedAt: now,
+		deadline:  now + e.Head.Timeout - e.Age,
+		escrow:    attempt.NewEscrow(e.Head.Budget),
 	}
 	if e.Head.StartWithin > 0 {
 		call.startBy = now + e.Head.StartWithin - e.Age
@@ -81,8 +84,8 @@
 		p.refuse(call, *r)
 		return
 	}
-	p.measure()
-	if !p.cold.bounded() {
+	p.observeLoad()
+	if !p.cold.rateLimited() {
 		p.node.meter.Arrived(p.admission.Estimate(classOf(call.head)))
 	}
 	p.cold.refresh()
@@ -91,23 +94,23 @@
 	p.refuseShed()
 }
 
-// start dispatches waiting calls while the backend server has room.
+// start dispatches queued calls while the backend server has capacity.
 func (p *upstreamPart) start() {
 	if p.node.options.Routed && p.node.membership.local.Draining {
-		p.turnAway("the backend server takes no new work")
+		p.refuseQueued("the backend server takes no new work")
 	}
 	if p.node.domains.ownOut() {
-		p.turnAway(outOfServiceText)
+		p.refuseQueued(outOfServiceText)
 	}
 	p.admission.SetSlots(p.node.membership.local.Slots)
 	p.cold.refresh()
-	for p.cold.allows() {
+	for p.cold.mayStart() {
 		next, ok := p.admission.Next(p.node.now.Expiry)
 		if !ok {
 			return
 		}
 		call := p.calls[CallID(next.ID)]
-		if r := p.checkTime(call); r != nil {
+		if r := p.checkDeadlines(call); r != nil {
 			p.admission.Unsent(next.ID)
 			p.refuse(call, *r)
 			continue
@@ -120,31 +123,35 @@
 	}
 }
 
-// domainsChanged takes in that other failure domains than before are out of service.
-// A backend server may have gone cold while it got nothing.
+// domainsChanged processes a change of the failure domains that are out of
+// service. A backend server may have gone cold while its domain received no
+// requests.
 func (p *upstreamPart) domainsChanged(before coltsfootward.OutOfService) {
 	own := p.node.options.Self.Domain
 	if before.Has(own) && !p.node.domains.current.Has(own) {
-		p.cold.suspect()
+		p.cold.assumeCold()
 	}
 	p.start()
 }
 
-// coldLeft returns how much longer the backend server gets few requests.
-func (p *upstreamPart) coldLeft() time.Duration {
-	if !p.cold.bounded() {
+// coldRemaining returns how much longer the rate of requests to the cold
+// backend server is limited.
+func (p *upstreamPart) coldRemaining() time.Duration {
+	if !p.cold.rateLimited() {
 		return 0
 	}
 	return p.cold.left()
 }
 
-// outOfServiceText is the detail of refusals in a failure domain without service.
+// outOfServiceText is the detail of refusals in a failure domain that is out of
+// service.
 const outOfServiceText = "the failure domain is out of service"
 
-// turnAway refuses what waits for a backend server that is to get nothing more.
-// Dispatched as its turn comes, it could reach the server long after that was
-// acknowledged; refused now, it goes to another one.
-func (p *upstreamPart) turnAway(detail string) {
+// refuseQueued refuses all calls that wait for a backend server that must get
+// no more requests. If they were dispatched in their turn, they could reach the
+// server long after the end of its work was acknowledged; a call refused now
+// can go to another server.
+func (p *upstreamPart) refuseQueued(detail string) {
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
 		if call.token == "" && p.admission.Withdraw(admissioncontrol.RequestID(id)) {
@@ -156,9 +163,9 @@
 func (p *upstreamPart) dispatch(call *upstreamCall) {
 	call.token = p.node.newCallToken()
 	p.node.ledger.open(call)
-	call.began = p.node.now.Monotonic
-	p.countDispatched(call, 1)
-	p.cold.started()
+	call.dispatchedAt = p.node.now.Monotonic
+	p.addInFlight(call, 1)
+	p.cold.recordStart()
 	p.node.act(Dispatch{
 		Call:         call.id,
 		Token:        call.token,
@@ -168,24 +175,25 @@
 	})
 }
 
-func (p *upstreamPart) countDispatched(call *upstreamCall, change int) {
-	p.dispatched += change
+func (p *upstreamPart) addInFlight(call *upstreamCall, change int) {
+	p.inFlight += change
 	if call.head.Repeat {
-		p.repeated += change
+		p.inFlightRetries += change
 	}
 }
 
-// repeatedPart is the part of what the backend server has in hand that are
-// repeats. Its further calls do not name the request that they are made for, so as
-// many of them are taken for calls of repeats.
-func (p *upstreamPart) repeatedPart() float64 {
-	if p.dispatched == 0 {
+// inFlightRetryRatio returns the fraction of the backend server's requests in
+// flight that are retries. Child calls do not name the request that they are
+// made for, so the same fraction of them is assumed to belong to retries.
+func (p *upstreamPart) inFlightRetryRatio() float64 {
+	if p.inFlight == 0 {
 		return 0
 	}
-	return float64(p.repeated) / float64(p.dispatched)
+	return float64(p.inFlightRetries) / float64(p.inFlight)
 }
 
-// refuseShed answers what admission has refused since the last time.
+// refuseShed refuses the calls that admission control has shed since it was
+// last asked.
 func (p *upstreamPart) refuseShed() {
 	for _, shed := range p.admission.Refused() {
 		text := "more important requests fill the backend server's queue"
@@ -202,7 +210,7 @@
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, text).
 			WithRetryAfter(p.node.spread(p.admission.ReturnAfter(p.node.now.Expiry)))
 		if shed.Reason == admissioncontrol.ReasonCold {
-			r = p.cold.refusal(r)
+			r = p.cold.withRetryAfter(r)
 		}
 		p.refuse(p.calls[CallID(shed.Request.ID)], r)
 	}
@@ -214,7 +222,7 @@
 	if p.admission.Queued() > 0 {
 		p.start()
 	}
-	p.measure()
+	p.observeLoad()
 	p.node.throttle.Observe(p.node.now.Monotonic, p.node.meter.Ratio(p.admission.Limit()))
 	p.refuseShed()
 	p.reportOverload()
@@ -225,8 +233,8 @@
 	return CallToken(fmt.Sprintf("%016x%016x", n.source.Uint64(), n.source.Uint64()))
 }
 
-// sortedCalls returns the calls in the order of their numbers: the order of a
-// map would differ between two runs of one seed.
+// sortedCalls returns the IDs of the calls in ascending order. The iteration
+// order of a map would differ between two runs with the same seed.
 func sortedCalls[V any](calls map[CallID]V) []CallID {
 	return slices.Sorted(maps.Keys(calls))
 }
