--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend decides which heartbeats a node believes of the backend
-// server beside it. It reads no clock and does no I/O.
+// Package backend decides which heartbeats of the local backend server a node
+// accepts. It reads no clock and does no I/O.
 package backend
 
 import (
@@ -8,69 +8,72 @@
 	"coltsfootward"
 )
 
-// Verdict says what becomes of a heartbeat.
+// Verdict is the outcome of checking a heartbeat.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictTaken means that the heartbeat is the newest word of the backend
-	// server and in force.
+	// VerdictTaken means that the heartbeat is the newest one of the backend
+	// server and now determines its state.
 	VerdictTaken Verdict = "taken"
-	// VerdictOld means that a later heartbeat of the same start was taken before.
+	// VerdictOld means that the heartbeat is stale: a later one of the same
+	// start was accepted before, its start has announced its end, or it
+	// announces the end of a server that is not the current one.
 	VerdictOld Verdict = "old"
-	// VerdictForeign means that it is of another backend server than the one
-	// beside this node, or of an earlier start.
+	// VerdictForeign means that the heartbeat belongs to a backend server other
+	// than the one beside this node, or to an earlier start.
 	VerdictForeign Verdict = "foreign"
 )
 
-// startSkew is how much earlier a start may seem to be than the one before: the
-// wall clock that both were read from may have been set back in between. Jumps
-// are of a few seconds.
+// startSkew is how much earlier a new start time may be than the previous one.
+// Both are read from a wall clock that may have been set back in between; such
+// steps are a few seconds.
 const startSkew = 10 * time.Second
 
-// Machine follows the backend server beside one node. The zero value knows none
-// and believes any. It is not safe for concurrent use.
+// Machine tracks the state of the backend server beside one node by its
+// heartbeats. The zero value has accepted no heartbeat and accepts any. It is
+// not safe for concurrent use.
 //
-// It guards against heartbeats that were held up on their way or come from
-// somebody else: believed, one of them would have requests sent to a server
-// that has ended, or take a sound one out.
+// Machine rejects heartbeats that were delayed on their way or come from
+// another server. Accepting one would route requests to a server that has
+// ended, or stop requests to a healthy one.
 type Machine struct {
-	// Service and Address are what the backend server beside this node must
-	// say; empty means that any will do.
+	// Service and Address must match those in a heartbeat; an empty value
+	// matches any.
 	Service coltsfootward.ServiceName
 	Address string
 
 	current coltsfootward.Heartbeat
 	known   bool
-	// recovered is set while all that is known came from a health check, which
-	// does not say when the backend server started.
-	recovered bool
-	// ended names the latest start that has announced its end.
-	ended coltsfootward.Heartbeat
+	// fromHealthCheck is set while the current state comes only from a health
+	// check, which does not report when the backend server started.
+	fromHealthCheck bool
+	// lastEnded identifies the latest start that has announced its end.
+	lastEnded coltsfootward.Heartbeat
 }
 
-// Current returns what is in force; false if nothing is known.
+// Current returns the state of the backend server, or false if none is known.
 func (m *Machine) Current() (coltsfootward.Heartbeat, bool) { return m.current, m.known }
 
-// Take takes a heartbeat in.
+// Take checks a heartbeat and applies it if it is accepted.
 func (m *Machine) Take(h coltsfootward.Heartbeat) Verdict {
 	if h.State == coltsfootward.BackendGone {
-		return m.takeEnd(h)
+		return m.applyEnd(h)
 	}
-	if !m.fits(h) {
+	if !m.matches(h) {
 		return VerdictForeign
 	}
-	if m.over(h) {
+	if m.isFromEndedStart(h) {
 		return VerdictOld
 	}
-	if m.recovered {
-		m.recovered = false
+	if m.fromHealthCheck {
+		m.fromHealthCheck = false
 		m.known = false
 	}
-	if m.known && m.sameStart(h) {
-		return m.takeNext(h)
+	if m.known && m.isSameStart(h) {
+		return m.applyNext(h)
 	}
-	if m.known && !m.later(h) {
+	if m.known && !m.isLaterStart(h) {
 		return VerdictForeign
 	}
 	m.current = h
@@ -78,25 +81,27 @@
 	return VerdictTaken
 }
 
-func (m *Machine) fits(h coltsfootward.Heartbeat) bool {
+func (m *Machine) matches(h coltsfootward.Heartbeat) bool {
 	return (m.Service == "" || h.Service == m.Service) && (m.Address == "" || h.Address == m.Address)
 }
 
-func (m *Machine) sameStart(h coltsfootward.Heartbeat) bool {
+func (m *Machine) isSameStart(h coltsfootward.Heartbeat) bool {
 	return h.ID == m.current.ID && h.Started.Equal(m.current.Started)
 }
 
-// later reports whether a heartbeat is of a later start than the current one.
-func (m *Machine) later(h coltsfootward.Heartbeat) bool {
+// isLaterStart reports whether a heartbeat belongs to a later start than the
+// current one.
+func (m *Machine) isLaterStart(h coltsfootward.Heartbeat) bool {
 	if h.Started.IsZero() || m.current.Started.IsZero() {
 		return h.ID != m.current.ID
 	}
 	return h.Started.After(m.current.Started.Add(-startSkew)) && (h.ID != m.current.ID || h.Started.After(m.current.Started))
 }
 
-// takeNext takes a further heartbeat of the same start. One that has said that
-// it leaves does not come back: a "ready" from then is a late one.
-func (m *Machine) takeNext(h coltsfootward.Heartbeat) Verdict {
+// applyNext applies a further heartbeat of the current start. A server that has
+// announced that it leaves never becomes ready again within the same start, so
+// a later "ready" is a delayed heartbeat.
+func (m *Machine) applyNext(h coltsfootward.Heartbeat) Verdict {
 	if h.Sequence <= m.current.Sequence || m.current.State != coltsfootward.BackendReady && h.State == coltsfootward.BackendReady {
 		return VerdictOld
 	}
@@ -107,27 +112,27 @@
 	return VerdictTaken
 }
 
-// over reports whether a heartbeat is of a start that has announced its end, or
-// of one long before it. Such a word was held up on its way. The current state
-// alone does not tell: a health check says nothing of starts, so after one any
-// heartbeat would pass for that of a new start, and requests would go to a server
-// whose end has been acknowledged.
-func (m *Machine) over(h coltsfootward.Heartbeat) bool {
-	if h.Started.IsZero() || m.ended.Started.IsZero() {
+// isFromEndedStart reports whether a heartbeat belongs to a start that has
+// announced its end, or to one well before it, and so was delayed on its way.
+// The current state is not enough to detect this: after a health check, which
+// reports no start time, any heartbeat would be accepted as that of a new
+// start, and requests would go to a server whose end has been acknowledged.
+func (m *Machine) isFromEndedStart(h coltsfootward.Heartbeat) bool {
+	if h.Started.IsZero() || m.lastEnded.Started.IsZero() {
 		return false
 	}
-	if h.ID == m.ended.ID {
-		return !h.Started.After(m.ended.Started)
+	if h.ID == m.lastEnded.ID {
+		return !h.Started.After(m.lastEnded.Started)
 	}
-	return h.Started.Before(m.ended.Started.Add(-startSkew))
+	return h.Started.Before(m.lastEnded.Started.Add(-startSkew))
 }
 
-// takeEnd takes in that a backend server has announced its end. The end of
-// another one than the current one changes nothing here, unless it is known to
-// have started later: then the current one is gone, too.
-func (m *Machine) takeEnd(h coltsfootward.Heartbeat) Verdict {
-	if !h.Started.Before(m.ended.Started) {
-		m.ended = h
+// applyEnd processes a heartbeat by which a backend server announces its end.
+// The end of another server than the current one changes nothing, unless that
+// server is known to have started later: then the current one has ended, too.
+func (m *Machine) applyEnd(h coltsfootward.Heartbeat) Verdict {
+	if !h.Started.Before(m.lastEnded.Started) {
+		m.lastEnded = h
 	}
 	if !m.known {
 		m.current = h
@@ -139,7 +144,7 @@
 	if !newer && (h.ID != m.current.ID || !h.Started.IsZero() && h.Started.Before(current)) {
 		return VerdictOld
 	}
-	m.recovered = false
+	m.fromHealthCheck = false
 	m.current.ID = h.ID
 	m.current.State = coltsfootward.BackendGone
 	if !h.Started.IsZero() {
@@ -148,15 +153,16 @@
 	return VerdictTaken
 }
 
-// Recover takes in what a health check told a node that has just started: the
-// backend server's name, and whether it takes work. It counts only while no
-// heartbeat is known.
+// Recover applies the result of a health check after a node's start: the
+// backend server's name, and whether it accepts requests. It is ignored and
+// returns false once a heartbeat or a health check has been accepted, or if the
+// service or address does not match.
 func (m *Machine) Recover(h coltsfootward.Heartbeat) bool {
-	if m.known || !m.fits(h) {
+	if m.known || !m.matches(h) {
 		return false
 	}
 	m.current = h
 	m.known = true
-	m.recovered = true
+	m.fromHealthCheck = true
 	return true
 }
--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -11,11 +11,12 @@
 
 var started = time.UnixMilli(1_800_000_000_000)
 
-// beat returns a heartbeat of the start at d after the first one.
-func beat(id string, d time.Duration, sequence uint64, state coltsfootward.BackendState) coltsfootward.Heartbeat {
+// heartbeat returns a heartbeat of a server that started at the given offset
+// from the first start.
+func heartbeat(id string, offset time.Duration, sequence uint64, state coltsfootward.BackendState) coltsfootward.Heartbeat {
 	return coltsfootward.Heartbeat{
 		ID: id, Service: "quotes", Address: "10.0.0.1:80", Slots: 4,
-		Started: started.Add(d), Sequence: sequence, State: state,
+		Started: started.Add(offset), Sequence: sequence, State: state,
 	}
 }
 
@@ -29,131 +30,133 @@
 	return &backend.Machine{Service: "quotes", Address: "10.0.0.1:80"}
 }
 
-func expect(t *testing.T, m *backend.Machine, h coltsfootward.Heartbeat, want backend.Verdict) {
+func expectVerdict(t *testing.T, m *backend.Machine, h coltsfootward.Heartbeat, want backend.Verdict) {
 	t.Helper()
 	if got := m.Take(h); got != want {
 		t.Fatalf("heartbeat %+v: got %s, want %s", h, got, want)
 	}
 }
 
-// A node is killed and started again beside a running backend server. It finds
-// the server by a health check, which does not tell when the server started.
-// The server's next heartbeat has a start: taken for another server's, it was
-// refused, and so were all after it, until the server gave up its node.
-func TestHeartbeatAfterRecoveryIsTaken(t *testing.T) {
+// A node is restarted beside a running backend server and finds it by a health
+// check, which does not report when the server started. The server's next
+// heartbeat has a start time. If it were rejected as another server's, so would
+// be all later ones, until the server gave up its node.
+func TestHeartbeatAfterHealthCheckIsAccepted(t *testing.T) {
 	m := newMachine()
 	if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
-		t.Fatal("health check not taken")
+		t.Fatal("health check not accepted")
 	}
-	expect(t, m, beat("a", 0, 7, ready), backend.VerdictTaken)
-	expect(t, m, beat("a", 0, 8, draining), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 8, draining), backend.VerdictTaken)
 }
 
-// A backend server says that it drains, and a heartbeat from before that was
-// held up on its way. Believed, the late one would bring requests to a server
-// that is about to end.
-func TestLateReadyDoesNotUndoDraining(t *testing.T) {
+// A backend server announces that it drains, and an earlier heartbeat arrives
+// late. Accepting the delayed one would route requests to a server that is
+// about to end.
+func TestDelayedReadyDoesNotUndoDraining(t *testing.T) {
 	m := newMachine()
-	expect(t, m, beat("a", 0, 5, ready), backend.VerdictTaken)
-	expect(t, m, beat("a", 0, 7, draining), backend.VerdictTaken)
-	expect(t, m, beat("a", 0, 6, ready), backend.VerdictOld)
-	expect(t, m, beat("a", 0, 8, ready), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 7, draining), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("a", 0, 8, ready), backend.VerdictOld)
 	if h, _ := m.Current(); h.State != draining {
 		t.Fatalf("state is %s, want draining", h.State)
 	}
 }
 
-// A backend server crashes behind a cut and another starts at its address. The
-// cut heals, and a heartbeat of the first one arrives: it names a server that is
-// gone.
+// A backend server crashes behind a network partition and another one starts at
+// its address. When the partition heals, a heartbeat of the first server
+// arrives, which has ended.
 func TestEarlierStartIsForeign(t *testing.T) {
 	m := newMachine()
-	expect(t, m, beat("a", 0, 5, ready), backend.VerdictTaken)
-	expect(t, m, beat("b", 30*time.Second, 1, ready), backend.VerdictTaken)
-	expect(t, m, beat("a", 0, 6, ready), backend.VerdictForeign)
-	expect(t, m, beat("a", 0, 7, gone), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("b", 30*time.Second, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictForeign)
+	expectVerdict(t, m, heartbeat("a", 0, 7, gone), backend.VerdictOld)
 	if h, _ := m.Current(); h.ID != "b" || h.State != ready {
 		t.Fatalf("current is %+v, want b, ready", h)
 	}
 }
 
-// A backend server starts again under the name that it had: its sequence begins
-// anew and must not count as old.
-func TestSameNameLaterStart(t *testing.T) {
+// A backend server restarts under its previous name. Its sequence numbers start
+// over and must not count as old.
+func TestRestartUnderSameNameIsAccepted(t *testing.T) {
 	m := newMachine()
-	expect(t, m, beat("a", 0, 90, ready), backend.VerdictTaken)
-	expect(t, m, beat("a", time.Minute, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 90, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictTaken)
 }
 
-// A server that announces its end without having drained is gone, and a later
-// heartbeat of the same start does not bring it back.
-func TestGoneStaysGone(t *testing.T) {
+// A server that announces its end without draining first is gone, and a later
+// heartbeat of the same start does not make it ready again.
+func TestGoneIsFinal(t *testing.T) {
 	m := newMachine()
-	expect(t, m, beat("a", 0, 5, ready), backend.VerdictTaken)
-	expect(t, m, beat("a", 0, 6, gone), backend.VerdictTaken)
-	expect(t, m, beat("a", 0, 7, ready), backend.VerdictOld)
-	expect(t, m, beat("b", time.Second, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 6, gone), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("b", time.Second, 1, ready), backend.VerdictTaken)
 }
 
-// Another writer's heartbeat names a service or an address that is not this
-// node's: it names no server to use.
-func TestForeignHeartbeatNamesNobody(t *testing.T) {
+// A heartbeat of another sender has a service or an address that does not match
+// this node's backend server. It must not be accepted.
+func TestForeignHeartbeatIsRejected(t *testing.T) {
 	m := newMachine()
-	h := beat("a", 0, 1, ready)
+	h := heartbeat("a", 0, 1, ready)
 	h.Service = "orders"
-	expect(t, m, h, backend.VerdictForeign)
-	h = beat("a", 0, 1, ready)
+	expectVerdict(t, m, h, backend.VerdictForeign)
+	h = heartbeat("a", 0, 1, ready)
 	h.Address = "10.0.0.9:80"
-	expect(t, m, h, backend.VerdictForeign)
+	expectVerdict(t, m, h, backend.VerdictForeign)
 	if _, known := m.Current(); known {
-		t.Fatal("a foreign heartbeat was believed")
+		t.Fatal("a foreign heartbeat was accepted")
 	}
 }
 
-// A node is restarted and finds its backend server by a health check. The server
-// says that it ends, without having drained, and the node acknowledges. A "ready"
-// that was held up on its way comes in after that: believed, requests reached a
-// server that had long been acknowledged as leaving. The health check had not told
-// when the server started, so the late word passed for that of a new start.
-func TestEndAfterRecoveryStays(t *testing.T) {
-	for _, late := range []coltsfootward.Heartbeat{
-		beat("a", 0, 9, ready), beat("a", 0, 7, ready), beat("a", -time.Minute, 9, ready), beat("a", 0, 10, draining),
+// A node is restarted and finds its backend server by a health check. The
+// server announces its end without draining first, and the node acknowledges. A
+// delayed "ready" arrives after that. Since the health check does not report
+// when the server started, the delayed heartbeat could be mistaken for that of
+// a new start, and requests would reach a server whose end has long been
+// acknowledged.
+func TestEndAfterHealthCheckIsFinal(t *testing.T) {
+	for _, delayed := range []coltsfootward.Heartbeat{
+		heartbeat("a", 0, 9, ready), heartbeat("a", 0, 7, ready), heartbeat("a", -time.Minute, 9, ready), heartbeat("a", 0, 10, draining),
 	} {
 		m := newMachine()
 		if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
-			t.Fatal("health check not taken")
+			t.Fatal("health check not accepted")
 		}
-		expect(t, m, beat("a", 0, 8, gone), backend.VerdictTaken)
-		if got := m.Take(late); got == backend.VerdictTaken {
-			t.Errorf("late %+v: got %s", late, got)
+		expectVerdict(t, m, heartbeat("a", 0, 8, gone), backend.VerdictTaken)
+		if got := m.Take(delayed); got == backend.VerdictTaken {
+			t.Errorf("delayed %+v: got %s", delayed, got)
 		}
-		expect(t, m, beat("a", time.Minute, 1, ready), backend.VerdictTaken)
+		expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictTaken)
 		if h, _ := m.Current(); h.State != ready {
 			t.Errorf("after a new start: state is %s, want ready", h.State)
 		}
 	}
 }
 
-// A late "ready" of a server's earlier start comes in after a recovery and is
-// believed for want of anything better. Then the present start ends. A "ready" of
-// that start, held up as well, was taken for a third one.
-func TestEndOfLaterStartThanKnown(t *testing.T) {
+// A delayed "ready" of a server's earlier start arrives after a recovery by
+// health check and is accepted, since nothing contradicts it. Then the present
+// start announces its end. A delayed "ready" of that start must not be mistaken
+// for a third start.
+func TestEndOfUnknownLaterStart(t *testing.T) {
 	m := newMachine()
 	if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
-		t.Fatal("health check not taken")
+		t.Fatal("health check not accepted")
 	}
-	expect(t, m, beat("a", 0, 9, ready), backend.VerdictTaken)
-	expect(t, m, beat("a", time.Minute, 4, gone), backend.VerdictTaken)
-	expect(t, m, beat("a", time.Minute, 3, ready), backend.VerdictOld)
-	expect(t, m, beat("a", 2*time.Minute, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 9, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", time.Minute, 4, gone), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", time.Minute, 3, ready), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("a", 2*time.Minute, 1, ready), backend.VerdictTaken)
 }
 
-// Words of several starts of a server come in any order, beside a node that has
-// recovered or not. Two things hold in all orders: a start whose leaving has been
-// acknowledged is not believed to be ready again, and the first word of the newest
-// start is taken.
-func TestNoOrderOfWordsUndoesAnEnd(t *testing.T) {
-	const starts, words = 3, 5
+// Heartbeats of several starts of a server arrive in any order, at a node that
+// has or has not recovered by a health check. Two things hold in all orders: a
+// start whose end has been acknowledged never counts as ready again, and the
+// first heartbeat of the newest start is accepted.
+func TestEndIsFinalInAnyOrder(t *testing.T) {
+	const starts, heartbeats = 3, 5
 	for seed := range uint64(3000) {
 		source := rand.New(rand.NewPCG(seed, 17))
 		sameName := source.IntN(2) == 0
@@ -163,13 +166,13 @@
 			if !sameName {
 				id = string(rune('a' + start))
 			}
-			leaves := source.IntN(words)
-			for sequence := range words {
+			leavingFrom := source.IntN(heartbeats)
+			for sequence := range heartbeats {
 				state := ready
-				if sequence >= leaves {
+				if sequence >= leavingFrom {
 					state = []coltsfootward.BackendState{draining, gone}[source.IntN(2)]
 				}
-				all = append(all, beat(id, time.Duration(start)*time.Minute, uint64(sequence+1), state))
+				all = append(all, heartbeat(id, time.Duration(start)*time.Minute, uint64(sequence+1), state))
 			}
 		}
 		source.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -177,29 +180,29 @@
 		if source.IntN(2) == 0 {
 			m.Recover(coltsfootward.Heartbeat{ID: all[0].ID, Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready})
 		}
-		var left, newest time.Time
+		var lastLeft, newest time.Time
 		for i, h := range all {
-			_, before := m.Current()
+			_, wasKnown := m.Current()
 			verdict := m.Take(h)
 			if h.State == ready && h.Started.After(newest) && verdict != backend.VerdictTaken {
-				t.Fatalf("seed %d, word %d: the newest start's %+v got %s", seed, i, h, verdict)
+				t.Fatalf("seed %d, heartbeat %d: the newest start's %+v got %s", seed, i, h, verdict)
 			}
-			newest = later(newest, h.Started)
+			newest = latest(newest, h.Started)
 			if verdict != backend.VerdictForeign && h.State != ready {
-				left = later(left, h.Started)
+				lastLeft = latest(lastLeft, h.Started)
 			}
 			current, known := m.Current()
-			if before && !known {
-				t.Fatalf("seed %d, word %d: the server is no longer known", seed, i)
+			if wasKnown && !known {
+				t.Fatalf("seed %d, heartbeat %d: the server is no longer known", seed, i)
 			}
-			if current.State == ready && !current.Started.IsZero() && !current.Started.After(left) {
-				t.Fatalf("seed %d, word %d: %+v made a server ready that had said that it leaves", seed, i, h)
+			if current.State == ready && !current.Started.IsZero() && !current.Started.After(lastLeft) {
+				t.Fatalf("seed %d, heartbeat %d: %+v made a server ready that had announced that it leaves", seed, i, h)
 			}
 		}
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock turns a node's two clocks into instants that are safe to
-// decide by.
+// Package clock combines a node's monotonic clock and wall clock into instants
+// by which leases and deadlines can safely be judged.
 package clock
 
 import (
@@ -9,54 +9,59 @@
 )
 
 // jumpThreshold is how far the wall clock may run ahead of the monotonic one
-// before the difference counts as time that passed unseen. Smaller differences
-// are the clocks' own noise and correction.
+// before the difference counts as time that the monotonic clock missed. Smaller
+// differences are noise and gradual correction of the clocks.
 const jumpThreshold = 50 * time.Millisecond
 
-// Clock accumulates readings. The zero value is ready. It is not safe for
-// concurrent use.
+// Clock converts clock readings to instants. The zero value is ready to use. It
+// is not safe for concurrent use.
 //
-// A suspended machine stops its monotonic clock: the node wakes and finds that
-// no time has passed, though its lease has long gone to another. The wall
-// clock shows it as a jump, and Instant.Expiry counts the jump as passed.
+// The monotonic clock of a suspended machine stops: after the resumption no
+// time seems to have passed, although another node may have taken over this
+// node's lease. The wall clock shows the suspension as a jump, and
+// Instant.Expiry counts the jump as elapsed time.
 type Clock struct {
-	// Suspended, if not nil, returns for how long in all the machine has been
-	// suspended, if the system tells. It is asked when the wall clock has jumped
-	// ahead: a corrected clock jumps too, and taken for a suspension it would end
-	// every request in hand as if its caller's time had run out.
+	// Suspended, if not nil, returns the total time for which the machine has
+	// been suspended, or false if the system does not report it. It is called
+	// when the wall clock has jumped ahead. A clock that is set jumps, too;
+	// counting that as a suspension would end every pending request as if its
+	// deadline had passed.
 	Suspended func() (time.Duration, bool)
 
 	started bool
-	// base is the smallest difference of wall and monotonic clock since the last jump.
-	base time.Duration
-	// unseen is the time that only the wall clock showed.
-	unseen time.Duration
+	// baseOffset is the smallest difference between wall and monotonic clock
+	// since the last jump.
+	baseOffset time.Duration
+	// skipped is the elapsed time that only the wall clock showed.
+	skipped time.Duration
 }
 
 // Read returns the instant for one reading of both clocks. monotonic must not
-// go down; wall may jump either way.
+// decrease; wall may jump either way.
 func (c *Clock) Read(monotonic time.Duration, wall time.Time) coltsfootward.Instant {
-	difference := time.Duration(wall.UnixNano()) - monotonic
+	offset := time.Duration(wall.UnixNano()) - monotonic
 	switch {
 	case !c.started:
 		c.started = true
-		c.base = difference
-	case difference < c.base:
-		c.base = difference
-	case difference > c.base+jumpThreshold:
-		c.jumped(difference - c.base)
-		c.base = difference
+		c.baseOffset = offset
+	case offset < c.baseOffset:
+		c.baseOffset = offset
+	case offset > c.baseOffset+jumpThreshold:
+		c.recordJump(offset - c.baseOffset)
+		c.baseOffset = offset
 	}
-	return coltsfootward.Instant{Monotonic: monotonic, Expiry: monotonic + c.unseen, Wall: wall}
+	return coltsfootward.Instant{Monotonic: monotonic, Expiry: monotonic + c.skipped, Wall: wall}
 }
 
-// jumped takes in that the wall clock ran ahead by d.
-func (c *Clock) jumped(d time.Duration) {
+// recordJump accounts for a jump of the wall clock ahead by d. If the system
+// reports suspensions, only the suspended time counts as elapsed, else the
+// whole jump.
+func (c *Clock) recordJump(d time.Duration) {
 	if c.Suspended != nil {
 		if suspended, ok := c.Suspended(); ok {
-			c.unseen = max(c.unseen, suspended)
+			c.skipped = max(c.skipped, suspended)
 			return
 		}
 	}
-	c.unseen += d
+	c.skipped += d
 }
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// A node spends from a slot that another has taken over. Its machine was
-// suspended for a minute; the monotonic clock stood still meanwhile, so by that
-// clock the lease's term had not passed.
-func TestSuspensionCountsAsPassed(t *testing.T) {
+// A machine is suspended for a minute while its monotonic clock stands still.
+// By that clock the node's lease has not expired, so the node would go on
+// spending from a slot that another node has taken over.
+func TestSuspensionAdvancesExpiry(t *testing.T) {
 	var c clock.Clock
 	wall := time.Unix(1_800_000_000, 0)
 	c.Read(time.Second, wall)
@@ -27,9 +27,8 @@
 	}
 }
 
-// TestReadings holds every reading against what real time may have been:
-// whatever the wall clock does, Expiry never falls behind the monotonic clock
-// and never runs backwards.
+// TestReadings checks that, whatever the wall clock does, Expiry is never
+// behind the monotonic clock and never decreases.
 func TestReadings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c clock.Clock
--- a/core/clock/suspended_test.go
+++ b/core/clock/suspended_test.go
@@ -7,9 +7,10 @@
 	"coltsfootward/core/clock"
 )
 
-// The time of day is set ahead by 3 s on a machine that runs all the while. Taken
-// for a suspension, the step would end each request in hand as late by 3 s.
-func TestCorrectedClockEndsNothing(t *testing.T) {
+// The wall clock is set ahead by 3 s on a machine that is not suspended.
+// Counted as a suspension, the step would end each pending request as if 3 s
+// had passed.
+func TestClockStepWithoutSuspensionIsIgnored(t *testing.T) {
 	suspended := time.Duration(0)
 	c := clock.Clock{Suspended: func() (time.Duration, bool) { return suspended, true }}
 	wall := time.Unix(1_800_000_000, 0)
@@ -17,7 +18,7 @@
 	if got := c.Read(time.Second, wall.Add(4*time.Second)).Expiry; got != time.Second {
 		t.Errorf("after a step of the wall clock: got %v, want 1s", got)
 	}
-	// Set back again, and then truly suspended for 5 s.
+	// The clock is set back, and then the machine is suspended for 5 s.
 	c.Read(2*time.Second, wall.Add(2*time.Second))
 	suspended = 5 * time.Second
 	if got := c.Read(3*time.Second, wall.Add(8*time.Second)).Expiry; got != 8*time.Second {
@@ -25,8 +26,9 @@
 	}
 }
 
-// A system that does not tell leaves the safe reading: the jump counts as time.
-func TestJumpCountsWhereNobodyTells(t *testing.T) {
+// If the system does not report suspensions, the jump counts as elapsed time,
+// which is the safe reading.
+func TestJumpCountsIfSuspensionIsUnknown(t *testing.T) {
 	c := clock.Clock{Suspended: func() (time.Duration, bool) { return 0, false }}
 	wall := time.Unix(1_800_000_000, 0)
 	c.Read(0, wall)
