--- a/examples/deployment/deployment.go
+++ b/examples/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment describes the two deployments whose ready settings stand
-// in examples/bennani and examples/consortium, and writes those files.
+// Package deployment describes two example deployments and generates their
+// settings files in examples/bennani and examples/consortium.
 package deployment
 
 import (
@@ -12,31 +12,33 @@
 // Service is one service of a deployment and the size of its backend servers.
 type Service struct {
 	Name string
-	// Upstreams is how many backend servers it has, spread over the failure
+	// Upstreams is the number of backend servers, distributed over the failure
 	// domains in their order.
 	Upstreams int
-	// Slots and Connections are those of each backend server.
+	// Slots and Connections are the limits of each backend server.
 	Slots, Connections int
-	// Marks are its requests' marks, as coltsfootctl service set takes them.
+	// Marks are the marks of the service's requests in the syntax of
+	// coltsfootctl service set.
 	Marks []string
 }
 
-// Organisation is one organisation and its share.
+// Organisation is one organisation and its rate limit: Rate in requests per
+// second, Burst in requests.
 type Organisation struct {
 	Name  string
 	Rate  float64
 	Burst int
 }
 
-// Deployment is a whole deployment.
+// Deployment is an example deployment.
 type Deployment struct {
 	Name string
-	// Network is the first two numbers of its instances' addresses.
+	// Network is the first two octets of the instances' IPv4 addresses.
 	Network       string
 	Domains       []string
 	Services      []Service
 	Organisations []Organisation
-	// Timeout bounds requests that bring none.
+	// Timeout applies to requests that specify none.
 	Timeout time.Duration
 }
 
@@ -46,7 +48,8 @@
 	Service             Service
 }
 
-// Bennani publishes prices: orders must run once, live quotes must be fast.
+// Bennani publishes prices: orders must run at most once, and live quotes need
+// low latency.
 func Bennani() Deployment {
 	return Deployment{
 		Name: "bennani", Network: "10.10", Timeout: 5 * time.Second,
@@ -64,7 +67,8 @@
 	}
 }
 
-// Consortium tests road surfaces: filings must run once, run logs are large.
+// Consortium tests road surfaces: filings must run at most once, and run logs
+// are large.
 func Consortium() Deployment {
 	return Deployment{
 		Name: "consortium", Network: "10.20", Timeout: 10 * time.Second,
@@ -82,8 +86,8 @@
 	}
 }
 
-// Instances returns every instance. The nth backend server of a service runs
-// in the nth failure domain, and so on round.
+// Instances returns every instance. The backend servers of a service are
+// assigned to the failure domains in rotation.
 func (d Deployment) Instances() []Instance {
 	var all []Instance
 	perDomain := make([]int, len(d.Domains))
@@ -102,7 +106,7 @@
 	return all
 }
 
-// Settings returns the text of an instance's settings file.
+// Settings returns the content of an instance's settings file.
 func (d Deployment) Settings(i Instance) string {
 	var domains []string
 	for _, domain := range d.Domains {
@@ -129,7 +133,7 @@
 `, i.Service.Name, i.Service.Slots, i.Service.Connections, i.ID, i.Domain, strings.Join(domains, ", "), i.Address, d.Network, d.Timeout)
 }
 
-// Configure returns a script that sets services, organisations and keys.
+// Configure returns a script that sets the services, organisations and keys.
 func (d Deployment) Configure() string {
 	var b strings.Builder
 	b.WriteString(`#!/usr/bin/env bash
@@ -153,7 +157,7 @@
 	return b.String()
 }
 
-// Deployments returns both, by name.
+// Deployments returns both deployments, sorted by name.
 func Deployments() []Deployment {
 	all := []Deployment{Bennani(), Consortium()}
 	slices.SortFunc(all, func(a, b Deployment) int { return strings.Compare(a.Name, b.Name) })
--- a/examples/deployment/deployment_test.go
+++ b/examples/deployment/deployment_test.go
@@ -27,8 +27,9 @@
 	"go.uber.org/zap"
 )
 
-// The ready files are what Deployment writes. After a change of it read what
-// moved and run go test coltsfootward/examples/deployment -update.
+// Checks that the settings files and scripts in the repository are those that
+// Deployment generates. After a change to it, review the difference and run go
+// test coltsfootward/examples/deployment -update.
 func TestReadyFiles(t *testing.T) {
 	for _, d := range deployment.Deployments() {
 		directory := filepath.Join("..", d.Name)
@@ -37,25 +38,26 @@
 		for _, i := range d.Instances() {
 			files.Assert(t, i.ID+".toml", []byte(d.Settings(i)))
 			if _, err := settings.Load(filepath.Join(directory, i.ID+".toml")); err != nil {
-				t.Errorf("%s: got %v, want the ready file accepted", i.ID, err)
+				t.Errorf("%s: got %v, want the settings file accepted", i.ID, err)
 			}
 		}
 	}
 }
 
-// whole is a deployment in one process, on ports that the machine chose.
-type whole struct {
+// testDeployment is a deployment in one process, on ports that the kernel
+// chose.
+type testDeployment struct {
 	t     *testing.T
 	nodes []*daemon.Daemon
 }
 
 const anyPort = "127.0.0.1:0"
 
-func start(t *testing.T, d deployment.Deployment) *whole {
+func start(t *testing.T, d deployment.Deployment) *testDeployment {
 	t.Helper()
 	table := httptest.NewServer(platform.New().Handler())
 	t.Cleanup(table.Close)
-	w := &whole{t: t}
+	w := &testDeployment{t: t}
 	for _, i := range d.Instances() {
 		s, err := settings.Load(filepath.Join("..", d.Name, i.ID+".toml"))
 		if err != nil {
@@ -63,12 +65,12 @@
 		}
 		s.Listen = settings.Listen{Callers: anyPort, Backend: anyPort, Peers: anyPort, Operators: anyPort}
 		s.PlatformURL = table.URL
-		w.add(s, i)
+		w.addInstance(s, i)
 	}
 	return w
 }
 
-func (w *whole) add(s settings.Settings, i deployment.Instance) {
+func (w *testDeployment) addInstance(s settings.Settings, i deployment.Instance) {
 	w.t.Helper()
 	node := daemon.New(s, zap.NewNop())
 	if err := node.Start(w.t.Context()); err != nil {
@@ -96,17 +98,17 @@
 	})
 }
 
-func (w *whole) client() coltsfootwardv1connect.OperatorServiceClient {
+func (w *testDeployment) client() coltsfootwardv1connect.OperatorServiceClient {
 	return coltsfootwardv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+w.nodes[0].Addresses().Operators)
 }
 
 // eventually waits until check returns true.
-func (w *whole) eventually(what string, check func() bool) {
+func (w *testDeployment) eventually(what string, check func() bool) {
 	w.t.Helper()
 	deadline := time.Now().Add(time.Minute)
 	for !check() {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("did not come true in time: %s", what)
+			w.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -116,8 +118,8 @@
 	return &coltsfootwardv1.ChangeContext{ChangeId: id, WaitMilliseconds: 30_000}
 }
 
-// Every ready settings file starts, all nodes find each other, and a caller of
-// any service at the first node is answered.
+// Checks that a node starts with every settings file, that all nodes discover
+// each other, and that the first node answers requests for any service.
 func TestDeploymentsStart(t *testing.T) {
 	for _, d := range deployment.Deployments() {
 		t.Run(d.Name, func(t *testing.T) {
@@ -135,15 +137,15 @@
 					t.Fatalf("set service %s: %v", s.Name, err)
 				}
 			}
-			key := w.organisation(d.Organisations[0])
+			key := w.createOrganisation(d.Organisations[0])
 			for _, s := range d.Services {
-				w.eventually("a caller of "+s.Name+" is answered", func() bool { return w.answered(s.Name, key) })
+				w.eventually("a caller of "+s.Name+" is answered", func() bool { return w.isAnswered(s.Name, key) })
 			}
 		})
 	}
 }
 
-func (w *whole) organisation(o deployment.Organisation) string {
+func (w *testDeployment) createOrganisation(o deployment.Organisation) string {
 	w.t.Helper()
 	const key = "a-key-that-only-this-test-knows"
 	_, err := w.client().SetOrganisation(w.t.Context(), connect.NewRequest(&coltsfootwardv1.SetOrganisationRequest{
@@ -161,7 +163,7 @@
 	return key
 }
 
-func (w *whole) answered(service, key string) bool {
+func (w *testDeployment) isAnswered(service, key string) bool {
 	w.t.Helper()
 	path := "/" + service + "/some/page"
 	request, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+w.nodes[0].Addresses().Callers+path, nil)
--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,2 +1,2 @@
-// Package examples is the root of runnable examples and ready settings.
+// Package examples is the parent of runnable examples and ready-made settings.
 package examples
--- a/examples/quickstart/main.go
+++ b/examples/quickstart/main.go
@@ -1,6 +1,6 @@
-// Command quickstart shows the whole of coltsfootward in one process: a
-// stand-in platform, two nodes in two failure domains, a backend server, an
-// operator and callers. It needs no settings and ends by itself.
+// Command quickstart demonstrates coltsfootward in one process: a stand-in
+// platform, two nodes in two failure domains, a backend server, an operator and
+// callers. It needs no settings and exits when the demonstration is complete.
 package main
 
 import (
--- a/examples/quickstart/tour/deployment.go
+++ b/examples/quickstart/tour/deployment.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 )
 
-// anyPort is a loopback address whose port the machine chooses.
+// anyPort is a loopback address whose port the kernel chooses.
 const anyPort = "127.0.0.1:0"
 
-// deployment is a whole deployment in one process.
+// deployment is a complete deployment in one process.
 type deployment struct {
 	platform     *http.Server
 	north, south *daemon.Daemon
--- a/examples/quickstart/tour/operator.go
+++ b/examples/quickstart/tour/operator.go
@@ -12,8 +12,9 @@
 	"connectrpc.com/connect"
 )
 
-// operate does what an operator would do with coltsfootctl, by the same calls.
-func operate(ctx context.Context, node string) error {
+// configure sets up the deployment with the same calls that coltsfootctl makes
+// for an operator.
+func configure(ctx context.Context, node string) error {
 	client := coltsfootwardv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+node)
 	steps := []func() (*connect.Response[coltsfootwardv1.ChangeResponse], error){
 		func() (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
@@ -36,10 +37,10 @@
 			}))
 		},
 		func() (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
-			return issue(ctx, client, "traders", tradersKey)
+			return issueKey(ctx, client, "traders", tradersKey)
 		},
 		func() (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
-			return issue(ctx, client, "visitors", visitorsKey)
+			return issueKey(ctx, client, "visitors", visitorsKey)
 		},
 	}
 	for _, step := range steps {
@@ -50,14 +51,15 @@
 	return nil
 }
 
-func issue(ctx context.Context, client coltsfootwardv1connect.OperatorServiceClient, organisation, key string) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
+func issueKey(ctx context.Context, client coltsfootwardv1connect.OperatorServiceClient, organisation, key string) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	return client.IssueKey(ctx, connect.NewRequest(&coltsfootwardv1.IssueKeyRequest{
 		Context: change(organisation + "-key"), Id: organisation + "-1", Organisation: organisation,
 		Digest: string(coltsfootward.DigestKey(key)),
 	}))
 }
 
-// change names a change and waits until it is in force.
+// change returns the context of a change that waits until the change is in
+// force.
 func change(id string) *coltsfootwardv1.ChangeContext {
 	const wait = 13_000
 	return &coltsfootwardv1.ChangeContext{ChangeId: "quickstart-" + id, WaitMilliseconds: wait}
--- a/examples/quickstart/tour/tour.go
+++ b/examples/quickstart/tour/tour.go
@@ -1,5 +1,5 @@
-// Package tour runs the quickstart: it starts a deployment, operates it, sends
-// requests and tells what happened.
+// Package tour runs the quickstart: it starts a deployment, configures it,
+// sends requests and prints the results.
 package tour
 
 import (
@@ -19,11 +19,11 @@
 	service     = "quotes"
 	tradersKey  = "quickstart-key-of-the-traders"
 	visitorsKey = "quickstart-key-of-the-visitors"
-	// burst is how many requests are sent at once to show refusals.
+	// burst is how many requests are sent at once to provoke refusals.
 	burst = 40
 )
 
-// Run runs the tour and writes what happened to out.
+// Run runs the tour and writes the results to out.
 func Run(ctx context.Context, out io.Writer) error {
 	d, err := start(ctx)
 	if err != nil {
@@ -31,64 +31,65 @@
 	}
 	defer d.stop(ctx)
 	north := d.north.Addresses()
-	fmt.Fprintf(out, "Two nodes run: north-1 takes callers on %s, south-1 stands before the backend server.\n", north.Callers)
-	if err := operate(ctx, north.Operators); err != nil {
+	fmt.Fprintf(out, "Two nodes run: north-1 takes callers on %s, south-1 runs beside the backend server.\n", north.Callers)
+	if err := configure(ctx, north.Operators); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "An operator has set a service, two organisations and their keys; all is in force.")
-	t := &tourist{ctx: ctx, out: out, callers: north.Callers}
-	if err := t.visit(); err != nil {
+	c := &caller{ctx: ctx, out: out, callers: north.Callers}
+	if err := c.sendRequests(); err != nil {
 		return err
 	}
 	return showTimeline(ctx, out, north.Operators, d.south.Addresses().Operators)
 }
 
-// tourist sends requests to the northern node.
-type tourist struct {
+// caller sends requests to node north-1.
+type caller struct {
 	ctx     context.Context
 	out     io.Writer
 	callers string
 }
 
-func (t *tourist) visit() error {
-	answered, err := t.untilAnswered("/" + service + "/urea")
+func (c *caller) sendRequests() error {
+	answered, err := c.retryUntilAnswered("/" + service + "/urea")
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "\nA trader's request went through both nodes: %s, %q\n", answered.result, answered.body)
-	wrong, err := t.get("/"+service+"/urea", "no-such-key", 0)
+	fmt.Fprintf(c.out, "\nA trader's request went through both nodes: %s, %q\n", answered.result, answered.body)
+	wrong, err := c.get("/"+service+"/urea", "no-such-key", 0)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "\nA wrong key: %s\n", wrong.result)
-	if err := t.many("A visitor far above its rate", "/"+service+"/urea", visitorsKey, 0); err != nil {
+	fmt.Fprintf(c.out, "\nA wrong key: %s\n", wrong.result)
+	if err := c.sendBurst("A visitor far above its rate", "/"+service+"/urea", visitorsKey, 0); err != nil {
 		return err
 	}
-	return t.many("Slow requests, more than the slots serve in time", "/"+service+"/archive?time_ms=100", tradersKey, 5000*time.Millisecond)
+	return c.sendBurst("Slow requests, more than the slots serve in time", "/"+service+"/archive?time_ms=100", tradersKey, 5000*time.Millisecond)
 }
 
-// untilAnswered repeats a request until the backend server is known everywhere.
-func (t *tourist) untilAnswered(path string) (reply, error) {
+// retryUntilAnswered retries a request until it succeeds, which is when all
+// nodes know of the backend server.
+func (c *caller) retryUntilAnswered(path string) (reply, error) {
 	for {
-		r, err := t.get(path, tradersKey, 0)
+		r, err := c.get(path, tradersKey, 0)
 		if err != nil || r.status == http.StatusOK {
 			return r, err
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
-		case <-t.ctx.Done():
-			return r, fmt.Errorf("no answer in time, the last was %s: %w", r.result, t.ctx.Err())
+		case <-c.ctx.Done():
+			return r, fmt.Errorf("no response with status 200 in time, the last was %s: %w", r.result, c.ctx.Err())
 		}
 	}
 }
 
-// many sends requests at once and counts what came of them.
-func (t *tourist) many(title, path, key string, timeout time.Duration) error {
+// sendBurst sends requests at once and prints how many had each result.
+func (c *caller) sendBurst(title, path, key string, timeout time.Duration) error {
 	replies := make([]reply, burst)
 	errors := make([]error, burst)
 	var wait sync.WaitGroup
 	for i := range burst {
-		wait.Go(func() { replies[i], errors[i] = t.get(path, key, timeout) })
+		wait.Go(func() { replies[i], errors[i] = c.get(path, key, timeout) })
 	}
 	wait.Wait()
 	var order []string
@@ -102,22 +103,22 @@
 		}
 		counts[r.result]++
 	}
-	fmt.Fprintf(t.out, "\n%s, %d at once:\n", title, burst)
+	fmt.Fprintf(c.out, "\n%s, %d at once:\n", title, burst)
 	for _, result := range order {
-		fmt.Fprintf(t.out, "  %2d times %s\n", counts[result], result)
+		fmt.Fprintf(c.out, "  %2d times %s\n", counts[result], result)
 	}
 	return nil
 }
 
-// reply is what came of one request.
+// reply is the result of one request.
 type reply struct {
 	status int
 	result string
 	body   string
 }
 
-func (t *tourist) get(path, key string, timeout time.Duration) (reply, error) {
-	request, err := http.NewRequestWithContext(t.ctx, http.MethodGet, "http://"+t.callers+path, nil)
+func (c *caller) get(path, key string, timeout time.Duration) (reply, error) {
+	request, err := http.NewRequestWithContext(c.ctx, http.MethodGet, "http://"+c.callers+path, nil)
 	if err != nil {
 		return reply{}, fmt.Errorf("build a request: %w", err)
 	}
@@ -132,7 +133,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return reply{}, fmt.Errorf("read an answer: %w", err)
+		return reply{}, fmt.Errorf("read a response: %w", err)
 	}
 	r := reply{status: response.StatusCode, result: fmt.Sprint(response.StatusCode), body: strings.TrimSpace(string(body))}
 	if kind := response.Header.Get("Coltsfootward-Refusal"); kind != "" {
@@ -147,7 +148,7 @@
 		return err
 	}
 	const shown = 24
-	fmt.Fprintf(out, "\nThe first of %d events on the time line of both nodes:\n", len(events))
+	fmt.Fprintf(out, "\nThe first of %d events in the timeline of both nodes:\n", len(events))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(timeline.Heading(), "\t"))
 	for _, row := range timeline.Rows(events[:min(shown, len(events))]) {
--- a/examples/quickstart/tour/tour_test.go
+++ b/examples/quickstart/tour/tour_test.go
@@ -10,8 +10,8 @@
 	"coltsfootward/examples/quickstart/tour"
 )
 
-// A newcomer runs the quickstart and sees an answer, a refused key, a refused
-// rate and the time line of both nodes.
+// Checks that the output of the quickstart contains a response, refusals for a
+// wrong key and an exceeded rate, and the timeline of both nodes.
 func TestRun(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
--- a/schema/generate.sh
+++ b/schema/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Makes the committed Go code from the schema. Needs protoc (Debian's
+# Generates the committed Go code from the schema. Requires protoc (Debian's
 # protobuf-compiler) and the generators that .ci/tools builds.
 set -euo pipefail
 cd "$(dirname "$0")"
