--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -180,7 +180,7 @@
 		if source.IntN(2) == 0 {
 			m.Recover(coltsfootward.Heartbeat{ID: all[0].ID, Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready})
 		}
-		var lastLeft, newest time.Time
+		var latestLeaving, newest time.Time
 		for i, h := range all {
 			_, wasKnown := m.Current()
 			verdict := m.Take(h)
@@ -189,13 +189,13 @@
 			}
 			newest = latest(newest, h.Started)
 			if verdict != backend.VerdictForeign && h.State != ready {
-				lastLeft = latest(lastLeft, h.Started)
+				latestLeaving = latest(latestLeaving, h.Started)
 			}
 			current, known := m.Current()
 			if wasKnown && !known {
 				t.Fatalf("seed %d, heartbeat %d: the server is no longer known", seed, i)
 			}
-			if current.State == ready && !current.Started.IsZero() && !current.Started.After(lastLeft) {
+			if current.State == ready && !current.Started.IsZero() && !current.Started.After(latestLeaving) {
 				t.Fatalf("seed %d, heartbeat %d: %+v made a server ready that had announced that it leaves", seed, i, h)
 			}
 		}
--- a/core/emulation/load_test.go
+++ b/core/emulation/load_test.go
@@ -18,12 +18,12 @@
 
 // meanWorths runs a deployment with several seeds and returns the mean worth by
 // class, and under the empty name that of all requests.
-func meanWorths(t *testing.T, d emulation.Deployment, trouble emulation.Trouble) map[coltsfootward.RouteName]float64 {
+func meanWorths(t *testing.T, d emulation.Deployment, disturbance emulation.Trouble) map[coltsfootward.RouteName]float64 {
 	t.Helper()
 	outcomes := make([]*emulation.Outcome, seedCount)
 	var wait sync.WaitGroup
 	for i := range outcomes {
-		wait.Go(func() { outcomes[i] = emulation.Run(d, trouble, runLength, uint64(i)+1) })
+		wait.Go(func() { outcomes[i] = emulation.Run(d, disturbance, runLength, uint64(i)+1) })
 	}
 	wait.Wait()
 	sums := make(map[coltsfootward.RouteName]float64)
--- a/core/scenario/caller.go
+++ b/core/scenario/caller.go
@@ -17,8 +17,9 @@
 	// request, the first included.
 	callerAttempts     = 3
 	aggressiveAttempts = 5
-	// callerBackoff is the wait before the first retry if the refusal gave no
-	// time; it doubles with each retry. aggressiveBackoff does not.
+	// callerBackoff is the wait before the first retry; it doubles with each
+	// retry, and a refusal may ask for a longer one. aggressiveBackoff does not
+	// double.
 	callerBackoff     = 100 * time.Millisecond
 	aggressiveBackoff = 30 * time.Millisecond
 	// cancelMargin is how long after its timeout a caller cancels an attempt.
--- a/core/scenario/real.go
+++ b/core/scenario/real.go
@@ -121,15 +121,15 @@
 }
 
 func (m *mesh) servicesStarted() int {
-	begun := 0
+	started := 0
 	for _, member := range m.members {
 		for _, run := range member.Backend.Runs {
 			if run.Began >= disturbanceStart {
-				begun++
+				started++
 			}
 		}
 	}
-	return begun
+	return started
 }
 
 // announceSlots announces a number of slots that may differ from the backend
--- a/core/scenario/world.go
+++ b/core/scenario/world.go
@@ -44,7 +44,7 @@
 	run(d time.Duration)
 	// send sends a request to the instance with the given index and returns a
 	// function that cancels the request. done is called at most once.
-	send(entry int, r request, done func(reply)) (leave func())
+	send(entry int, r request, done func(reply)) (cancel func())
 	// entryCount is the number of instances that callers can reach.
 	entryCount() int
 	// startDisturbance and endDisturbance start and end the part of the
--- a/examples/quickstart/tour/tour.go
+++ b/examples/quickstart/tour/tour.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	fmt.Fprintln(out, "An operator has set a service, two organisations and their keys; all is in force.")
-	c := &caller{ctx: ctx, out: out, callers: north.Callers}
+	c := &caller{ctx: ctx, out: out, address: north.Callers}
 	if err := c.sendRequests(); err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 type caller struct {
 	ctx     context.Context
 	out     io.Writer
-	callers string
+	address string
 }
 
 func (c *caller) sendRequests() error {
@@ -118,7 +118,7 @@
 }
 
 func (c *caller) get(path, key string, timeout time.Duration) (reply, error) {
-	request, err := http.NewRequestWithContext(c.ctx, http.MethodGet, "http://"+c.callers+path, nil)
+	request, err := http.NewRequestWithContext(c.ctx, http.MethodGet, "http://"+c.address+path, nil)
 	if err != nil {
 		return reply{}, fmt.Errorf("build a request: %w", err)
 	}
