--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -86,16 +86,16 @@
 }
 
 func (m *Machine) isSameStart(h coltsfootward.Heartbeat) bool {
-	return h.ID == m.current.ID && h.Started.Equal(m.current.Started)
+	return h.ID == m.current.ID && h.StartedAt.Equal(m.current.StartedAt)
 }
 
 // isLaterStart reports whether a heartbeat belongs to a later start than the
 // current one.
 func (m *Machine) isLaterStart(h coltsfootward.Heartbeat) bool {
-	if h.Started.IsZero() || m.current.Started.IsZero() {
+	if h.StartedAt.IsZero() || m.current.StartedAt.IsZero() {
 		return h.ID != m.current.ID
 	}
-	return h.Started.After(m.current.Started.Add(-startSkew)) && (h.ID != m.current.ID || h.Started.After(m.current.Started))
+	return h.StartedAt.After(m.current.StartedAt.Add(-startSkew)) && (h.ID != m.current.ID || h.StartedAt.After(m.current.StartedAt))
 }
 
 // applyNext applies a further heartbeat of the current start. A server that has
@@ -118,20 +118,20 @@
 // reports no start time, any heartbeat would be accepted as that of a new
 // start, and requests would go to a server whose end has been acknowledged.
 func (m *Machine) isFromEndedStart(h coltsfootward.Heartbeat) bool {
-	if h.Started.IsZero() || m.lastEnded.Started.IsZero() {
+	if h.StartedAt.IsZero() || m.lastEnded.StartedAt.IsZero() {
 		return false
 	}
 	if h.ID == m.lastEnded.ID {
-		return !h.Started.After(m.lastEnded.Started)
+		return !h.StartedAt.After(m.lastEnded.StartedAt)
 	}
-	return h.Started.Before(m.lastEnded.Started.Add(-startSkew))
+	return h.StartedAt.Before(m.lastEnded.StartedAt.Add(-startSkew))
 }
 
 // applyEnd processes a heartbeat by which a backend server announces its end.
 // The end of another server than the current one changes nothing, unless that
 // server is known to have started later: then the current one has ended, too.
 func (m *Machine) applyEnd(h coltsfootward.Heartbeat) Verdict {
-	if !h.Started.Before(m.lastEnded.Started) {
+	if !h.StartedAt.Before(m.lastEnded.StartedAt) {
 		m.lastEnded = h
 	}
 	if !m.known {
@@ -139,16 +139,16 @@
 		m.known = true
 		return VerdictTaken
 	}
-	current := m.current.Started
-	newer := !h.Started.IsZero() && !current.IsZero() && h.Started.After(current)
-	if !newer && (h.ID != m.current.ID || !h.Started.IsZero() && h.Started.Before(current)) {
+	current := m.current.StartedAt
+	newer := !h.StartedAt.IsZero() && !current.IsZero() && h.StartedAt.After(current)
+	if !newer && (h.ID != m.current.ID || !h.StartedAt.IsZero() && h.StartedAt.Before(current)) {
 		return VerdictOld
 	}
 	m.fromHealthCheck = false
 	m.current.ID = h.ID
 	m.current.State = coltsfootward.BackendGone
-	if !h.Started.IsZero() {
-		m.current.Started = h.Started
+	if !h.StartedAt.IsZero() {
+		m.current.StartedAt = h.StartedAt
 	}
 	return VerdictTaken
 }
--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -16,7 +16,7 @@
 func heartbeat(id string, offset time.Duration, sequence uint64, state coltsfootward.BackendState) coltsfootward.Heartbeat {
 	return coltsfootward.Heartbeat{
 		ID: id, Service: "quotes", Address: "10.0.0.1:80", Slots: 4,
-		Started: started.Add(offset), Sequence: sequence, State: state,
+		StartedAt: started.Add(offset), Sequence: sequence, State: state,
 	}
 }
 
@@ -184,18 +184,18 @@
 		for i, h := range all {
 			_, wasKnown := m.Current()
 			verdict := m.Take(h)
-			if h.State == ready && h.Started.After(newest) && verdict != backend.VerdictTaken {
+			if h.State == ready && h.StartedAt.After(newest) && verdict != backend.VerdictTaken {
 				t.Fatalf("seed %d, heartbeat %d: the newest start's %+v got %s", seed, i, h, verdict)
 			}
-			newest = latest(newest, h.Started)
+			newest = latest(newest, h.StartedAt)
 			if verdict != backend.VerdictForeign && h.State != ready {
-				latestLeaving = latest(latestLeaving, h.Started)
+				latestLeaving = latest(latestLeaving, h.StartedAt)
 			}
 			current, known := m.Current()
 			if wasKnown && !known {
 				t.Fatalf("seed %d, heartbeat %d: the server is no longer known", seed, i)
 			}
-			if current.State == ready && !current.Started.IsZero() && !current.Started.After(latestLeaving) {
+			if current.State == ready && !current.StartedAt.IsZero() && !current.StartedAt.After(latestLeaving) {
 				t.Fatalf("seed %d, heartbeat %d: %+v made a server ready that had announced that it leaves", seed, i, h)
 			}
 		}
