--- a/cmd/daemon/connections.go
+++ b/cmd/daemon/connections.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// connectionsInterval is the least time between two lines about new connections.
+// connectionsInterval is the minimum time between two log records about new connections.
 const connectionsInterval = 10 * time.Second
 
-// connections counts connections with peers. It is safe for concurrent use.
+// connections counts the connections with peers. It is safe for concurrent use.
 type connections struct {
-	made, broken *expvar.Int
+	opened, lostCount *expvar.Int
 
 	mu sync.Mutex
-	// told is when they were last told of, since how many were made since then.
-	told  time.Time
-	since int
+	// lastReport is when new connections were last reported; unreported counts those
+	// made since then.
+	lastReport time.Time
+	unreported int
 }
 
 func (c *connections) connected() {
-	c.made.Add(1)
+	c.opened.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since++
+	c.unreported++
 }
 
-func (c *connections) lost() { c.broken.Add(1) }
+func (c *connections) lost() { c.lostCount.Add(1) }
 
-// due returns how many connections were made since they were last told of, and
-// whether it is time to tell.
-func (c *connections) due(now time.Time) (int, bool) {
+// dueReport returns how many connections were made since the last report. It reports
+// false if connectionsInterval has not passed since then.
+func (c *connections) dueReport(now time.Time) (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.told) < connectionsInterval {
+	if now.Sub(c.lastReport) < connectionsInterval {
 		return 0, false
 	}
-	made := c.since
-	c.told, c.since = now, 0
-	return made, true
+	opened := c.unreported
+	c.lastReport, c.unreported = now, 0
+	return opened, true
 }
--- a/cmd/daemon/connections_test.go
+++ b/cmd/daemon/connections_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Guards against logs that tell of little but the connections of a quiet day.
-func TestConnectionsAreToldOfNowAndThen(t *testing.T) {
-	c := connections{made: new(expvar.Int), broken: new(expvar.Int)}
+// Guards against a log that is filled by one record per peer connection: connections
+// are opened continually, also under little load.
+func TestConnectionsAreLoggedAtIntervals(t *testing.T) {
+	c := connections{opened: new(expvar.Int), lostCount: new(expvar.Int)}
 	now := time.Unix(1_700_000_000, 0)
-	told, lines := 0, 0
+	reported, lines := 0, 0
 	for range 1000 {
 		c.connected()
-		if made, ok := c.due(now); ok {
-			told += made
+		if opened, ok := c.dueReport(now); ok {
+			reported += opened
 			lines++
 		}
 		now = now.Add(25 * time.Millisecond)
 	}
-	if lines > 3 || told < 800 || c.made.Value() != 1000 {
-		t.Errorf("got %d lines about %d connections in 25 s, and %d counted, want a line each 10 s and all counted", lines, told, c.made.Value())
+	if lines > 3 || reported < 800 || c.opened.Value() != 1000 {
+		t.Errorf("got %d lines about %d connections in 25 s, and %d counted, want a line each 10 s and all counted", lines, reported, c.opened.Value())
 	}
 }
--- a/cmd/daemon/daemon.go
+++ b/cmd/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires one node together with fx. Several nodes may run in one
-// process: nothing in it is global.
+// Package daemon wires the components of one node together with fx. It has no global
+// state, so several nodes may run in one process.
 package daemon
 
 import (
@@ -19,23 +19,23 @@
 )
 
 const (
-	// startTimeout bounds how long a start may take; it only opens listeners.
+	// startTimeout bounds the duration of a start, which only opens listeners.
 	startTimeout = 30 * time.Second
-	// StopTimeout bounds how long a graceful stop may take. A download may run
-	// for minutes, and a planned stop cuts off no request.
+	// StopTimeout bounds the duration of a graceful stop. A download may run for
+	// minutes, and a planned stop aborts no request.
 	StopTimeout = 10 * time.Minute
 )
 
 // Daemon is one node in this process. Create it with New. It is safe for
 // concurrent use.
 type Daemon struct {
-	app      *fx.App
-	parts    *parts
-	settings settings.Settings
-	level    zap.AtomicLevel
+	app        *fx.App
+	components *components
+	settings   settings.Settings
+	level      zap.AtomicLevel
 }
 
-// New returns a node that does not run yet.
+// New returns a node that has not been started.
 func New(s settings.Settings, logger *zap.Logger) *Daemon {
 	d := &Daemon{settings: s, level: zap.NewAtomicLevelAt(levelOf(s.Log.Level))}
 	logger = logger.WithOptions(zap.IncreaseLevel(d.level))
@@ -44,8 +44,8 @@
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.StartTimeout(startTimeout),
 		fx.StopTimeout(StopTimeout),
-		fx.Provide(newParts),
-		fx.Populate(&d.parts),
+		fx.Provide(newComponents),
+		fx.Populate(&d.components),
 	)
 	return d
 }
@@ -58,15 +58,16 @@
 	return nil
 }
 
-// Signals returns a channel that brings SIGTERM or SIGINT.
+// Signals returns a channel that receives SIGTERM and SIGINT.
 func (d *Daemon) Signals() <-chan os.Signal { return d.app.Done() }
 
-// Drained returns a channel that is closed once the node has left, after Stop
-// or after an operator's drain: nothing is left to do, and it may exit.
-func (d *Daemon) Drained() <-chan struct{} { return d.parts.drained }
+// Drained returns a channel that is closed once the node has finished all its work
+// after Stop or an operator's drain, so that the process may exit.
+func (d *Daemon) Drained() <-chan struct{} { return d.components.drained }
 
-// Stop leaves gracefully: the node announces it, takes no new work, finishes
-// what runs and closes its faces. The context bounds the wait.
+// Stop stops the node gracefully: the node announces the stop to its peers, accepts
+// no new work, finishes the running requests and closes its listeners. The context
+// bounds the duration.
 func (d *Daemon) Stop(ctx context.Context) error {
 	if err := d.app.Stop(ctx); err != nil {
 		return fmt.Errorf("daemon: stop: %w", err)
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// Reload takes new settings in. Only the log level can change while the node
-// runs; it says which other settings wait for the next start.
+// Reload applies new settings. Only the log level can change while the node runs. The
+// log record of the reload states whether other settings differ and need a restart.
 func (d *Daemon) Reload(s settings.Settings) {
 	waiting := "no"
 	present := d.settings
@@ -88,25 +89,27 @@
 		record.Field{Name: "level", Value: s.Log.Level}, record.Field{Name: "waits_for_start", Value: waiting}))
 }
 
-// SettingsFailed reports settings that can't be read; those in force stay.
+// SettingsFailed logs that the settings could not be read. The present ones stay in
+// force.
 func (d *Daemon) SettingsFailed(err error) {
 	d.report(record.New(record.SettingsRefused, time.Now(), record.Field{Name: "error", Value: err.Error()}))
 }
 
 func (d *Daemon) report(r record.Record) {
-	if d.parts != nil {
-		d.parts.reporter.report(r)
+	if d.components != nil {
+		d.components.reporter.report(r)
 	}
 }
 
 func levelOf(text string) zapcore.Level {
 	level, err := zapcore.ParseLevel(text)
 	if err != nil {
-		return zapcore.InfoLevel // settings allow known levels only
+		return zapcore.InfoLevel // unreachable: the settings are checked for valid levels
 	}
 	return level
 }
 
-// Addresses returns where the node listens. Ports that the settings left to
-// the machine are known from Start on.
-func (d *Daemon) Addresses() settings.Listen { return d.parts.settings.Listen }
+// Addresses returns the addresses that the node listens on. A port that is 0 in the
+// settings is replaced by the one that the operating system chose once Start has
+// returned.
+func (d *Daemon) Addresses() settings.Listen { return d.components.settings.Listen }
--- a/cmd/daemon/exposition.go
+++ b/cmd/daemon/exposition.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// longestLatency is the longest latency that is told apart, in microseconds;
-	// longer ones count as this.
-	longestLatency = int64(time.Minute / time.Microsecond)
-	// latencyDigits is how many digits of a latency are told apart. Two cost about
-	// 20 KB of memory a histogram.
+	// maximumLatency is the highest latency that the histograms record, in
+	// microseconds. Higher ones are recorded as this value.
+	maximumLatency = int64(time.Minute / time.Microsecond)
+	// latencyDigits is the histograms' precision in significant digits. Two digits
+	// need about 20 KB of memory per histogram.
 	latencyDigits = 2
 )
 
-// latencies holds how long callers waited, by what they got. Only the loop's
-// goroutine records; the lock of metrics guards it against readers.
+// latencies holds histograms of the time until callers got a response or a refusal.
+// Only the loop's goroutine records values. The mutex of metrics guards the
+// histograms, since other goroutines read them.
 type latencies struct {
 	answered, refused *hdrhistogram.Histogram
 }
 
 func newLatencies() latencies {
 	return latencies{
-		answered: hdrhistogram.New(1, longestLatency, latencyDigits),
-		refused:  hdrhistogram.New(1, longestLatency, latencyDigits),
+		answered: hdrhistogram.New(1, maximumLatency, latencyDigits),
+		refused:  hdrhistogram.New(1, maximumLatency, latencyDigits),
 	}
 }
 
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value lies within the histogram's bounds, so it is always taken.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), longestLatency))
+	// RecordValue fails only for values outside the histogram's bounds.
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maximumLatency))
 }
 
-// quantiles are those that are told of each histogram, in hundredths.
+// quantiles are the exposed quantiles of each histogram, in percent.
 var quantiles = []float64{50, 90, 99, 99.9}
 
-// serveText answers with the counters, gauges and latencies as lines of text, a
-// name with labels and a value each.
+// serveText writes the counters, gauges and latencies in the Prometheus text format:
+// each line holds a name with labels and a value.
 func (m *metrics) serveText(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	m.all.Do(func(kv expvar.KeyValue) {
+	m.vars.Do(func(kv expvar.KeyValue) {
 		switch v := kv.Value.(type) {
 		case *expvar.Int:
 			fmt.Fprintf(w, "coltsfootward_%s %d\n", kv.Key, v.Value())
--- a/cmd/daemon/exposition_test.go
+++ b/cmd/daemon/exposition_test.go
@@ -10,8 +10,8 @@
 	"coltsfootward/io/loop"
 )
 
-// Counters, refusals by kind and latencies come as lines of text, without any key
-// or name of a caller.
+// The text format exposes counters, refusals by kind and latencies, and holds neither
+// keys nor paths of callers' requests.
 func TestMetricsAsText(t *testing.T) {
 	m := newMetrics()
 	m.observe(loop.Observation{Event: node.RequestArrived{Call: 1, Key: "digest", Path: "/secret"}})
@@ -35,6 +35,6 @@
 		}
 	}
 	if strings.Contains(text, "digest") || strings.Contains(text, "secret") {
-		t.Errorf("a key or path stands in the metrics:\n%s", text)
+		t.Errorf("got metrics that expose a key or path:\n%s", text)
 	}
 }
--- a/cmd/daemon/face.go
+++ b/cmd/daemon/face.go
@@ -20,26 +20,27 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send its header.
+	// headerTimeout bounds how long a client may take to send a request's header.
 	headerTimeout = 10 * time.Second
-	// readTimeout bounds how long a caller may take to send a whole request.
+	// readTimeout bounds how long a client may take to send a complete request.
 	readTimeout = 60 * time.Second
-	// idleTimeout bounds how long a caller's connection may stay unused.
+	// idleTimeout bounds how long a client's connection may stay idle.
 	idleTimeout = 3 * time.Minute
-	// maximumHeader bounds a request's header in bytes.
-	maximumHeader = 32 << 10
+	// maximumHeaderBytes bounds the size of a request's header.
+	maximumHeaderBytes = 32 << 10
 )
 
 type listeners struct {
 	callers, backend, peers, operators, ready net.Listener
 }
 
-// listen opens every face, or none. An address whose port is 0 is replaced by
-// the one that the machine chose, since peers and operators are told of it.
+// listen opens all listeners whose addresses are set. If one fails, it closes the
+// others. An address with port 0 is replaced by the one that the operating system
+// chose, because the node announces its addresses to peers and operators.
 func listen(addresses *settings.Listen) (listeners, error) {
 	var l listeners
 	var opened []net.Listener
-	for _, face := range []struct {
+	for _, endpoint := range []struct {
 		listener *net.Listener
 		address  *string
 		listen   func(string) (net.Listener, error)
@@ -50,16 +51,16 @@
 		{&l.operators, &addresses.Operators, listenTCP},
 		{&l.ready, &addresses.Ready, listenTCP},
 	} {
-		if *face.address == "" {
+		if *endpoint.address == "" {
 			continue
 		}
-		listener, err := face.listen(*face.address)
+		listener, err := endpoint.listen(*endpoint.address)
 		if err != nil {
 			closeAll(opened)
 			return l, fmt.Errorf("daemon: listen: %w: choose an address of this machine that is free", err)
 		}
-		*face.listener = listener
-		*face.address = listener.Addr().String()
+		*endpoint.listener = listener
+		*endpoint.address = listener.Addr().String()
 		opened = append(opened, listener)
 	}
 	return l, nil
@@ -73,27 +74,27 @@
 	}
 }
 
-func (p *parts) callerRouter() *mux.Router {
+func (c *components) callerRouter() *mux.Router {
 	router := mux.NewRouter()
-	face := caller.NewWithOptions(p.loop, p.transport, caller.Options{MaximumBody: p.settings.MaximumBody})
-	face.Register(router)
+	handler := caller.NewWithOptions(c.loop, c.transport, caller.Options{MaximumBody: c.settings.MaximumBody})
+	handler.Register(router)
 	return router
 }
 
-func (p *parts) backendRouter(server *upstream.Server) *mux.Router {
+func (c *components) backendRouter(server *upstream.Server) *mux.Router {
 	router := mux.NewRouter()
 	server.Register(router)
-	face := caller.NewWithOptions(p.loop, p.transport, caller.Options{MaximumBody: p.settings.MaximumBody, Local: true})
-	face.Register(router)
+	handler := caller.NewWithOptions(c.loop, c.transport, caller.Options{MaximumBody: c.settings.MaximumBody, Local: true})
+	handler.Register(router)
 	return router
 }
 
-func (p *parts) operatorRouter(service *operator.Service) *mux.Router {
+func (c *components) operatorRouter(service *operator.Service) *mux.Router {
 	router := mux.NewRouter()
 	path, handler := coltsfootwardv1connect.NewOperatorServiceHandler(service)
 	router.PathPrefix(path).Handler(handler)
-	router.HandleFunc("/debug/vars", p.metrics.serve)
-	router.HandleFunc("/metrics", p.metrics.serveText)
+	router.HandleFunc("/debug/vars", c.metrics.serve)
+	router.HandleFunc("/metrics", c.metrics.serveText)
 	router.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	router.HandleFunc("/debug/pprof/{name}", func(w http.ResponseWriter, r *http.Request) {
 		pprof.Handler(mux.Vars(r)["name"]).ServeHTTP(w, r)
@@ -101,7 +102,7 @@
 	return router
 }
 
-func (p *parts) serve(listener net.Listener, handler http.Handler) {
+func (c *components) serve(listener net.Listener, handler http.Handler) {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -110,14 +111,14 @@
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maximumHeader,
+		MaxHeaderBytes:    maximumHeaderBytes,
 		Protocols:         protocols,
-		ErrorLog:          zap.NewStdLog(p.reporter.logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
+		ErrorLog:          zap.NewStdLog(c.reporter.logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
-	p.servers = append(p.servers, server)
-	p.wait.Go(func() {
+	c.servers = append(c.servers, server)
+	c.wait.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			p.reporter.logger.Error("serve", zap.Error(err))
+			c.reporter.logger.Error("serve", zap.Error(err))
 		}
 	})
 }
--- a/cmd/daemon/hosted.go
+++ b/cmd/daemon/hosted.go
@@ -22,117 +22,118 @@
 )
 
 const (
-	// defaultConnections is how many connections the backend server beside the
-	// node is held to accept, in multiples of its slots, until the configuration
-	// says.
-	defaultConnections = 2
-	// joinWait is how long a node that has started waits for another one before
-	// it says that it is ready alone. Ready sooner it would refuse what others
-	// could serve.
-	joinWait = 3 * time.Second
-	// documentWait is the time between two looks whether a configuration is known,
-	// healthWait that between two health checks of a backend server that has not
-	// been heard since the node started.
-	documentWait = 20 * time.Millisecond
-	healthWait   = 250 * time.Millisecond
-	// healthPatience is how long the node looks. A backend server sends its
-	// heartbeats more often than that.
-	healthPatience = 4 * time.Second
-	// backendNotice is how long before the node lets callers go it takes no new
-	// work for its backend server. The news of that spreads within three rounds
-	// of gossip, and whoever has not heard it is refused and goes elsewhere.
+	// defaultConnectionsPerSlot is the assumed number of connections that the local
+	// backend server accepts, per slot, if the configuration doesn't set it.
+	defaultConnectionsPerSlot = 2
+	// joinTimeout is how long a started node waits for another node before it reports
+	// that it is ready without one. Ready earlier, it would refuse requests that other
+	// nodes could serve.
+	joinTimeout = 3 * time.Second
+	// configurationCheckInterval is the time between two checks whether the node has a
+	// configuration. healthCheckInterval is the time between two health checks of a
+	// backend server that has sent no heartbeat since the node started.
+	configurationCheckInterval = 20 * time.Millisecond
+	healthCheckInterval        = 250 * time.Millisecond
+	// findBackendTimeout bounds the time after the node's start in which it makes these
+	// health checks. It is longer than the interval of a backend server's heartbeats.
+	findBackendTimeout = 4 * time.Second
+	// backendNotice is how long the node refuses new work for its backend server before
+	// it closes the callers' connections. Gossip spreads this to the other nodes within
+	// three rounds. A node that has not received the update yet is refused and chooses
+	// another backend server.
 	backendNotice = 800 * time.Millisecond
-	// finishMargin is how much of the time for a stop is left for closing.
-	finishMargin = 300 * time.Millisecond
+	// closeMargin is the part of the time for a stop that is reserved for closing
+	// connections.
+	closeMargin = 300 * time.Millisecond
 )
 
-// hosted is what a node has besides on the users' hosting platform.
+// hosted holds the components that only a node on the users' hosting platform has.
 type hosted struct {
-	parts    *parts
-	upstream *upstream.Server
-	server   *caller.Server
-	watcher  *document.Watcher
-	started  time.Time
-	done     chan struct{}
-	wait     sync.WaitGroup
-	leaving  atomic.Bool
-	joined   atomic.Bool
-	// away is set while the platform does not answer the document's watcher.
-	away    atomic.Bool
-	current atomic.Pointer[coltsfootward.Configuration]
+	components *components
+	upstream   *upstream.Server
+	server     *caller.Server
+	watcher    *document.Watcher
+	started    time.Time
+	done       chan struct{}
+	wait       sync.WaitGroup
+	leaving    atomic.Bool
+	joined     atomic.Bool
+	// platformDown is set while the platform does not respond to the watcher.
+	platformDown atomic.Bool
+	current      atomic.Pointer[coltsfootward.Configuration]
 
-	mu      sync.Mutex
-	machine backend.Machine
+	mu             sync.Mutex
+	backendMachine backend.Machine
 }
 
-// startHosted opens the faces of a hosted deployment and begins to follow its
+// startHosted serves the listeners of a hosted deployment and starts watching its
 // configuration.
-func (p *parts) startHosted(faces listeners, server *upstream.Server, documents coltsfootward.Documents) {
+func (c *components) startHosted(l listeners, server *upstream.Server, documents coltsfootward.Documents) {
 	fields := platform.Fields()
-	h := &hosted{parts: p, upstream: server, started: time.Now(), done: make(chan struct{})}
-	h.machine.Service = coltsfootward.ServiceName(p.settings.Backend.Service)
-	h.machine.Address = p.settings.Backend.Address
+	h := &hosted{components: c, upstream: server, started: time.Now(), done: make(chan struct{})}
+	h.backendMachine.Service = coltsfootward.ServiceName(c.settings.Backend.Service)
+	h.backendMachine.Address = c.settings.Backend.Address
 	h.current.Store(&coltsfootward.Configuration{})
-	p.hosted = h
-	face := caller.NewWithOptions(p.loop, p.transport, caller.Options{Routed: &fields})
-	h.server = caller.NewServer(http.HandlerFunc(face.ServeRouted), caller.ServerOptions{
+	c.hosted = h
+	handler := caller.NewWithOptions(c.loop, c.transport, caller.Options{Routed: &fields})
+	h.server = caller.NewServer(http.HandlerFunc(handler.ServeRouted), caller.ServerOptions{
 		Limits: func() coltsfootward.Limits { return h.current.Load().Limits() },
 		Eager:  caller.EagerIn(func() coltsfootward.Configuration { return *h.current.Load() }),
 	})
-	p.wait.Go(func() {
-		if err := h.server.Serve(faces.callers); !errors.Is(err, http.ErrServerClosed) {
-			p.reporter.logger.Error("serve", zap.Error(err))
+	c.wait.Go(func() {
+		if err := h.server.Serve(l.callers); !errors.Is(err, http.ErrServerClosed) {
+			c.reporter.logger.Error("serve", zap.Error(err))
 		}
 	})
-	p.serve(faces.backend, h.heartbeatRouter())
-	p.serve(faces.ready, h.readyRouter())
+	c.serve(l.backend, h.heartbeatRouter())
+	c.serve(l.ready, h.readyRouter())
 	h.watcher = document.New(document.Options{
 		Source:   documents,
-		Duty:     h.documentDuty,
-		Found:    h.documentFound,
+		Duty:     h.documentTask,
+		Found:    h.applyDocument,
 		Failed:   h.platformFailed,
 		Answered: h.platformAnswered,
 	})
 	h.wait.Go(h.findBackend)
 }
 
-func (h *hosted) documentDuty() node.DocumentDuty {
-	duty := node.DocumentNone
-	h.parts.loop.Inspect(func(n *node.Node) { duty = n.DocumentDuty() })
-	return duty
+func (h *hosted) documentTask() node.DocumentDuty {
+	task := node.DocumentNone
+	h.components.loop.Inspect(func(n *node.Node) { task = n.DocumentDuty() })
+	return task
 }
 
-// documentFound hands what was read to the machine: the domains first, so that no
-// request is placed by the new configuration in a domain that gets no work.
-func (h *hosted) documentFound(d coltsfootward.Document) {
-	h.parts.loop.Post(node.DomainsRead{OutOfService: d.OutOfService})
+// applyDocument passes a read document to the state machine. The domains come first, so
+// that the new configuration places no request in a domain that is out of service.
+func (h *hosted) applyDocument(d coltsfootward.Document) {
+	h.components.loop.Post(node.DomainsRead{OutOfService: d.OutOfService})
 	if d.Configuration.Revision() > 0 {
-		h.parts.loop.Post(node.ConfigurationRead{Configuration: d.Configuration})
+		h.components.loop.Post(node.ConfigurationRead{Configuration: d.Configuration})
 	}
 }
 
-// platformFailed reports a document that can't be used, and the first call that the
-// platform did not answer.
+// platformFailed logs a document that can't be used, and the first of several calls
+// that the platform did not answer.
 func (h *hosted) platformFailed(err error) {
 	if !errors.Is(err, coltsfootward.ErrUnavailable) {
-		h.parts.reporter.event(record.DocumentUnread, "error", err.Error())
+		h.components.reporter.event(record.DocumentUnread, "error", err.Error())
 		return
 	}
-	if !h.away.Swap(true) {
-		h.parts.reporter.event(record.PlatformUnavailable, "error", err.Error())
+	if !h.platformDown.Swap(true) {
+		h.components.reporter.event(record.PlatformUnavailable, "error", err.Error())
 	}
 }
 
-// platformAnswered reports that the platform answers again.
+// platformAnswered logs that the platform responds again.
 func (h *hosted) platformAnswered() {
-	if h.away.Swap(false) {
-		h.parts.reporter.event(record.PlatformAvailable, "by", "document")
+	if h.platformDown.Swap(false) {
+		h.components.reporter.event(record.PlatformAvailable, "by", "document")
 	}
 }
 
-// inForce notes the configuration that the machine has put in force, for the
-// faces, which read it on every request.
-func (h *hosted) inForce(c coltsfootward.Configuration) { h.current.Store(&c) }
+// setConfiguration stores the configuration that the state machine has put in force.
+// The HTTP handlers read it on every request.
+func (h *hosted) setConfiguration(c coltsfootward.Configuration) { h.current.Store(&c) }
 
 func (h *hosted) heartbeatRouter() *mux.Router {
 	router := mux.NewRouter()
@@ -140,55 +141,55 @@
 	return router
 }
 
-// Heartbeat implements platform.Backends. It returns once what the heartbeat
-// says is in force, since the answer is an acknowledgement that binds.
+// Heartbeat implements platform.Backends. It returns once the state machine has applied
+// the heartbeat, because the response acknowledges that the node acts on it.
 func (h *hosted) Heartbeat(heartbeat coltsfootward.Heartbeat) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	switch h.machine.Take(heartbeat) {
+	switch h.backendMachine.Take(heartbeat) {
 	case backend.VerdictForeign:
-		h.parts.reporter.event(record.HeartbeatRefused, "backend", heartbeat.ID)
+		h.components.reporter.event(record.HeartbeatRefused, "backend", heartbeat.ID)
 		return false
 	case backend.VerdictOld:
 		return true
 	default:
-		return h.announce()
+		return h.announceBackend()
 	}
 }
 
-// announce puts in force what is known of the backend server. It is called with
-// the lock held.
-func (h *hosted) announce() bool {
-	current, _ := h.machine.Current()
+// announceBackend passes the last known state of the backend server to the state
+// machine and waits until it has been applied. The caller must hold h.mu.
+func (h *hosted) announceBackend() bool {
+	current, _ := h.backendMachine.Current()
 	service, _ := h.current.Load().Service(current.Service)
 	connections := service.Connections
 	if connections <= 0 {
-		connections = defaultConnections * max(current.Slots, 1)
+		connections = defaultConnectionsPerSlot * max(current.Slots, 1)
 	}
-	h.upstream.UseBackend(current.ID, h.parts.settings.Backend.Address, connections)
-	h.parts.loop.Post(node.BackendAnnounced{
-		Service:  coltsfootward.ServiceName(h.parts.settings.Backend.Service),
+	h.upstream.UseBackend(current.ID, h.components.settings.Backend.Address, connections)
+	h.components.loop.Post(node.BackendAnnounced{
+		Service:  coltsfootward.ServiceName(h.components.settings.Backend.Service),
 		Slots:    current.Slots,
 		Draining: current.State != coltsfootward.BackendReady,
 		Cold:     current.Cold,
 	})
-	return h.parts.loop.Inspect(func(*node.Node) {})
+	return h.components.loop.Inspect(func(*node.Node) {})
 }
 
-// findBackend asks the backend server itself at the node's start.
+// findBackend determines the backend server's state after the node has started.
 //
-// A node may be killed right after it has acknowledged that its backend server
-// leaves. Started again it must not send it work, and it knows nothing: so it
-// waits for a heartbeat, or for a health check that says that the server takes
-// work, whichever comes first.
+// A node may be killed right after it has acknowledged that its backend server is
+// shutting down. The restarted node has no record of that and must not send it work.
+// So it waits for a heartbeat, or for a health check that reports that the server
+// accepts work, whichever comes first.
 func (h *hosted) findBackend() {
-	for time.Since(h.started) < healthPatience {
-		wait := documentWait
+	for time.Since(h.started) < findBackendTimeout {
+		wait := configurationCheckInterval
 		if h.current.Load().Revision() > 0 {
 			if h.recoverBackend() {
 				return
 			}
-			wait = healthWait
+			wait = healthCheckInterval
 		}
 		select {
 		case <-time.After(wait):
@@ -198,10 +199,11 @@
 	}
 }
 
-// recoverBackend reports whether the backend server is known.
+// recoverBackend checks the backend server's health unless a heartbeat has arrived. It
+// reports whether the server's state is known.
 func (h *hosted) recoverBackend() bool {
 	h.mu.Lock()
-	_, known := h.machine.Current()
+	_, known := h.backendMachine.Current()
 	h.mu.Unlock()
 	if known {
 		return true
@@ -212,25 +214,26 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	recovered := h.machine.Recover(coltsfootward.Heartbeat{
-		ID: health.ID, Service: h.machine.Service, Address: h.machine.Address,
+	recovered := h.backendMachine.Recover(coltsfootward.Heartbeat{
+		ID: health.ID, Service: h.backendMachine.Service, Address: h.backendMachine.Address,
 		Slots: health.Slots, Cold: health.Cold, State: coltsfootward.BackendReady,
 	})
 	if recovered {
-		h.parts.reporter.event(record.BackendFound, "backend", health.ID)
-		h.announce()
+		h.components.reporter.event(record.BackendFound, "backend", health.ID)
+		h.announceBackend()
 	}
 	return true
 }
 
 func (h *hosted) checkHealth() (upstream.Health, error) {
-	backend := h.parts.settings.Backend
+	backend := h.components.settings.Backend
 	service, _ := h.current.Load().Service(coltsfootward.ServiceName(backend.Service))
 	return upstream.CheckHealth(backend.Address, service.HealthPath, platform.Fields())
 }
 
-// checkBackend tells the machine whether the backend server is cold. Without an
-// answer the machine stays with what it assumes.
+// checkBackend starts a health check and passes the result, whether the backend server
+// is cold, to the state machine. If the check fails, the state machine keeps its
+// assumption.
 func (h *hosted) checkBackend() {
 	if h.leaving.Load() {
 		return
@@ -238,10 +241,10 @@
 	h.wait.Go(func() {
 		health, err := h.checkHealth()
 		if err != nil {
-			h.parts.reporter.event(record.BackendUnchecked, "error", err.Error())
+			h.components.reporter.event(record.BackendUnchecked, "error", err.Error())
 			return
 		}
-		h.parts.loop.Post(node.BackendChecked{Cold: health.Cold})
+		h.components.loop.Post(node.BackendChecked{Cold: health.Cold})
 	})
 }
 
@@ -255,46 +258,48 @@
 	return router
 }
 
-// ready reports whether callers are to be sent here: the node knows a
-// configuration and other nodes, or is alone, and is not about to stop.
+// ready reports whether the platform should route callers to this node: the node has a
+// configuration, knows another node or has waited joinTimeout for one, and is not about
+// to stop.
 func (h *hosted) ready() bool {
 	if h.leaving.Load() || h.current.Load().Revision() == 0 {
 		return false
 	}
-	if h.joined.Load() || time.Since(h.started) > joinWait {
+	if h.joined.Load() || time.Since(h.started) > joinTimeout {
 		return true
 	}
 	peers := 0
-	h.parts.loop.Inspect(func(n *node.Node) { peers = n.Members() })
+	h.components.loop.Inspect(func(n *node.Node) { peers = n.Members() })
 	if peers > 1 {
 		h.joined.Store(true)
 	}
 	return peers > 1
 }
 
-// stop lets callers go and finishes what runs. Callers go on coming until the
-// platform has asked twice and told them; cut off before, they would lose
-// requests that had arrived whole. The backend server works on until shortly
-// before: a service of three servers whose nodes are replaced one after the other
-// would else be a third short for all of that time.
+// stop closes the callers' connections gracefully and finishes the running requests.
+// Callers keep sending requests until the platform has seen two failed readiness checks
+// and has redirected them; connections closed earlier would lose requests that had
+// arrived completely. The backend server gets work until shortly before that: otherwise
+// a service of three servers whose nodes are replaced one after the other would lack a
+// third of its capacity for the whole notice period.
 func (h *hosted) stop(ctx context.Context) error {
 	h.leaving.Store(true)
-	// What is still in hand shortly before the end is cut, so that the goodbyes to
-	// the peers are in time.
+	// Requests that still run goodbyeTimeout before the deadline are aborted, so that
+	// the goodbyes reach the peers in time.
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-goodbyeWait))
+		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-goodbyeTimeout))
 		defer cancel()
 	}
-	notice := h.parts.settings.Stop.Notice
+	notice := h.components.settings.Stop.Notice
 	last := min(notice, backendNotice)
 	sleep(ctx, notice-last)
-	h.parts.loop.Post(node.DrainRequested{})
+	h.components.loop.Post(node.DrainRequested{})
 	sleep(ctx, last)
 	err := h.server.Shutdown(ctx)
-	h.parts.loop.Post(node.FinishRequested{})
+	h.components.loop.Post(node.FinishRequested{})
 	select {
-	case <-h.parts.drained:
+	case <-h.components.drained:
 	case <-ctx.Done():
 	}
 	close(h.done)
--- a/cmd/daemon/metrics.go
+++ b/cmd/daemon/metrics.go
@@ -14,20 +14,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// metrics counts what one node does. Each node has a map of its own, so that
-// several may run in one process. docs/OPERATIONS.md explains each name.
+// metrics holds the metrics of one node. Each node has its own map, so that several
+// nodes may run in one process. docs/OPERATIONS.md explains each name.
 type metrics struct {
-	all *expvar.Map
-	// counters holds the counters of all by their names, for those who count.
+	vars *expvar.Map
+	// counters holds the counters of vars by their names.
 	counters map[string]*expvar.Int
-	// refusals counts refusals to callers by kind, peerRefusals those to peers.
+	// refusals counts refusals sent to callers, by kind; peerRefusals counts those sent
+	// to peers.
 	refusals, peerRefusals *expvar.Map
-	// entries holds since when callers have calls in hand here. Only the loop's
-	// goroutine uses it.
-	entries map[node.CallID]time.Time
-	// connections counts those with peers.
+	// arrivals holds the arrival times of the callers' requests that are in progress.
+	// Only the loop's goroutine uses it.
+	arrivals map[node.CallID]time.Time
+	// connections counts the connections with peers.
 	connections connections
-	// gauges reads the machine's gauges; nil before the node runs.
+	// gauges reads the gauges from the state machine. It is nil before the node runs.
 	gauges func() gauges
 
 	mu        sync.Mutex
@@ -36,28 +37,28 @@
 
 func newMetrics() *metrics {
 	m := &metrics{
-		all:          new(expvar.Map),
+		vars:         new(expvar.Map),
 		counters:     make(map[string]*expvar.Int),
 		refusals:     new(expvar.Map),
 		peerRefusals: new(expvar.Map),
-		entries:      make(map[node.CallID]time.Time),
+		arrivals:     make(map[node.CallID]time.Time),
 		latencies:    newLatencies(),
 	}
 	for _, name := range counterNames {
 		m.counters[name] = new(expvar.Int)
-		m.all.Set(name, m.counters[name])
+		m.vars.Set(name, m.counters[name])
 	}
-	m.connections.made, m.connections.broken = m.counters[countConnected], m.counters[countLost]
+	m.connections.opened, m.connections.lostCount = m.counters[countConnected], m.counters[countLost]
 	for _, kind := range coltsfootward.SortedRefusalKinds() {
 		m.refusals.Add(string(kind), 0)
 		m.peerRefusals.Add(string(kind), 0)
 	}
-	m.all.Set("refusals", m.refusals)
-	m.all.Set("peer_refusals", m.peerRefusals)
+	m.vars.Set("refusals", m.refusals)
+	m.vars.Set("peer_refusals", m.peerRefusals)
 	return m
 }
 
-// The counters' names.
+// Names of the counters.
 const (
 	countRequests         = "requests"
 	countAnswersWhole     = "answers_whole"
@@ -88,37 +89,37 @@
 
 func (m *metrics) add(name string, delta int64) { m.counters[name].Add(delta) }
 
-// slowEvent is how long an event may wait for the machine before it counts as
-// slow: at the target the whole node adds 1.3 ms to a call.
-const slowEvent = time.Millisecond
+// slowEventThreshold is the time that an event may wait for the state machine before it
+// counts as slow. At the latency target the node adds 1.3 ms to a call in total.
+const slowEventThreshold = time.Millisecond
 
-// observe counts one event and what followed. The loop calls it on its own
+// observe counts one event and the resulting actions. The loop calls it on its own
 // goroutine.
 func (m *metrics) observe(o loop.Observation) {
 	m.add(countEvents, 1)
 	m.add(countBusy, o.Took.Microseconds())
 	m.add(countWaited, o.Waited.Microseconds())
-	if o.Waited > slowEvent {
+	if o.Waited > slowEventThreshold {
 		m.add(countSlow, 1)
 	}
-	m.event(o.Event)
+	m.countEvent(o.Event)
 	for _, action := range o.Actions {
-		m.action(action)
+		m.countAction(action)
 	}
 }
 
-func (m *metrics) event(event node.Event) {
+func (m *metrics) countEvent(event node.Event) {
 	switch e := event.(type) {
 	case node.RequestArrived:
-		m.entries[e.Call] = time.Now()
+		m.arrivals[e.Call] = time.Now()
 		m.add(countRequests, 1)
 	case node.CallerLeft:
-		if _, ok := m.entries[e.Call]; ok {
+		if _, ok := m.arrivals[e.Call]; ok {
 			m.add(countCallersLeft, 1)
 		}
-		delete(m.entries, e.Call)
+		delete(m.arrivals, e.Call)
 	case node.CallDone:
-		m.done(e)
+		m.countCallDone(e)
 	case node.AttemptEnded:
 		if e.Kind == node.AttemptLost {
 			m.add(countAttemptsLost, 1)
@@ -138,9 +139,9 @@
 	}
 }
 
-func (m *metrics) done(e node.CallDone) {
-	m.waited(e.Call, m.latencies.answered)
-	delete(m.entries, e.Call)
+func (m *metrics) countCallDone(e node.CallDone) {
+	m.recordCallLatency(e.Call, m.latencies.answered)
+	delete(m.arrivals, e.Call)
 	if e.Whole {
 		m.add(countAnswersWhole, 1)
 		return
@@ -148,10 +149,10 @@
 	m.add(countAnswersBroken, 1)
 }
 
-func (m *metrics) action(action node.Action) {
+func (m *metrics) countAction(action node.Action) {
 	switch a := action.(type) {
 	case node.Refuse:
-		m.refused(a)
+		m.countRefusal(a)
 	case node.Forward:
 		m.add(countAttempts, 1)
 	case node.Dispatch:
@@ -163,28 +164,29 @@
 	}
 }
 
-func (m *metrics) refused(a node.Refuse) {
-	if _, ok := m.entries[a.Call]; ok {
-		m.waited(a.Call, m.latencies.refused)
+func (m *metrics) countRefusal(a node.Refuse) {
+	if _, ok := m.arrivals[a.Call]; ok {
+		m.recordCallLatency(a.Call, m.latencies.refused)
 		m.refusals.Add(string(a.Refusal.Kind), 1)
-		delete(m.entries, a.Call)
+		delete(m.arrivals, a.Call)
 		return
 	}
 	m.peerRefusals.Add(string(a.Refusal.Kind), 1)
 }
 
-// waited records how long a caller waited.
-func (m *metrics) waited(call node.CallID, h *hdrhistogram.Histogram) {
-	since, ok := m.entries[call]
+// recordCallLatency records the time since a caller's request arrived. It does nothing
+// for calls that are not in progress here.
+func (m *metrics) recordCallLatency(call node.CallID, h *hdrhistogram.Histogram) {
+	arrival, ok := m.arrivals[call]
 	if !ok {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	recordLatency(h, time.Since(since))
+	recordLatency(h, time.Since(arrival))
 }
 
-// gauges are what the machine says of itself when it is asked.
+// gauges are values read from the state machine on request.
 type gauges struct {
 	Instance          coltsfootward.InstanceID    `json:"instance"`
 	Domain            coltsfootward.FailureDomain `json:"domain"`
@@ -200,24 +202,26 @@
 	ShedLevel         uint32                      `json:"shed_level"`
 	// OutOfService are the failure domains that operators have taken out of service.
 	OutOfService []coltsfootward.FailureDomain `json:"out_of_service"`
-	// ColdMilliseconds is how much longer the local backend server is cold,
-	// ColdPassed and ColdRefused what it was given and spared while cold.
+	// ColdMilliseconds is the remaining time for which the local backend server is
+	// cold. ColdPassed and ColdRefused count the requests that were passed to it and
+	// refused for it while it was cold.
 	ColdMilliseconds int64 `json:"cold_milliseconds"`
 	ColdPassed       int   `json:"cold_passed"`
 	ColdRefused      int   `json:"cold_refused"`
 }
 
-// inspect adds the gauges, read from the machine whenever someone asks.
-func (m *metrics) inspect(l *loop.Loop) {
+// registerGauges adds the gauges to vars. They are read from the state machine each
+// time the metrics are requested.
+func (m *metrics) registerGauges(l *loop.Loop) {
 	m.gauges = func() gauges {
 		var g gauges
-		l.Inspect(func(n *node.Node) { g = read(n) })
+		l.Inspect(func(n *node.Node) { g = readGauges(n) })
 		return g
 	}
-	m.all.Set("node", expvar.Func(func() any { return m.gauges() }))
+	m.vars.Set("node", expvar.Func(func() any { return m.gauges() }))
 }
 
-func read(n *node.Node) gauges {
+func readGauges(n *node.Node) gauges {
 	status, load, cold := n.Status(), n.Load(), n.Cold()
 	return gauges{
 		Instance:          status.Self.ID,
@@ -239,10 +243,10 @@
 	}
 }
 
-// serve answers with this node's metrics and those of the whole process.
+// serve writes this node's metrics and those of the whole process as JSON.
 func (m *metrics) serve(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	fmt.Fprintf(w, "{\n%q: %s", "coltsfootward", m.all)
+	fmt.Fprintf(w, "{\n%q: %s", "coltsfootward", m.vars)
 	expvar.Do(func(kv expvar.KeyValue) { fmt.Fprintf(w, ",\n%q: %s", kv.Key, kv.Value) })
 	fmt.Fprintf(w, "\n}\n")
 }
--- a/cmd/daemon/page_test.go
+++ b/cmd/daemon/page_test.go
@@ -22,7 +22,7 @@
 	"go.uber.org/zap"
 )
 
-// section returns a part of the operators' page.
+// section returns the text of one section of docs/OPERATIONS.md.
 func section(t *testing.T, title string) string {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
@@ -111,8 +111,8 @@
 	}
 }
 
-// Two nodes in one process must count apart, and a stopped node must leave no
-// goroutine behind: tests and benches run dozens of them.
+// Two nodes in one process must have separate metrics, and a stopped node must leave no
+// goroutine behind: tests and benchmarks run dozens of nodes in one process.
 func TestSeveralNodesInOneProcess(t *testing.T) {
 	north, south := startNode(t), startNode(t)
 	response, err := http.Get("http://" + north.Addresses().Callers + "/quotes/urea")
--- a/cmd/daemon/parts.go
+++ b/cmd/daemon/parts.go
@@ -24,14 +24,14 @@
 	"go.uber.org/zap"
 )
 
-// table is the platform's table, whichever way it is spoken to.
+// table is the platform's table, independent of the protocol used to reach it.
 type table interface {
 	coltsfootward.Table
 	Close()
 }
 
-// parts are the pieces of a running node.
-type parts struct {
+// components holds the components of a running node.
+type components struct {
 	settings  settings.Settings
 	reporter  *reporter
 	metrics   *metrics
@@ -45,140 +45,144 @@
 	once      sync.Once
 }
 
-func newParts(lifecycle fx.Lifecycle, s settings.Settings, logger *zap.Logger) *parts {
-	p := &parts{settings: s, reporter: newReporter(s, logger), drained: make(chan struct{})}
-	lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: p.stop})
-	return p
+func newComponents(lifecycle fx.Lifecycle, s settings.Settings, logger *zap.Logger) *components {
+	c := &components{settings: s, reporter: newReporter(s, logger), drained: make(chan struct{})}
+	lifecycle.Append(fx.Hook{OnStart: c.start, OnStop: c.stop})
+	return c
 }
 
-func (p *parts) start(context.Context) error {
-	faces, err := listen(&p.settings.Listen)
+func (c *components) start(context.Context) error {
+	l, err := listen(&c.settings.Listen)
 	if err != nil {
 		return err
 	}
 	clock := loop.NewClock()
-	options := p.settings.NodeOptions(coltsfootward.Incarnation(time.Now().UnixNano()))
+	options := c.settings.NodeOptions(coltsfootward.Incarnation(time.Now().UnixNano()))
 	var documents coltsfootward.Documents
-	if p.settings.Hosted() {
-		store := hosting.NewStore(p.settings.PlatformURL)
-		p.table, documents = store, store.Documents()
+	if c.settings.Hosted() {
+		store := hosting.NewStore(c.settings.PlatformURL)
+		c.table, documents = store, store.Documents()
 	} else {
-		p.table = platform.New(p.settings.PlatformURL)
+		c.table = platform.New(c.settings.PlatformURL)
 	}
-	p.metrics = newMetrics()
-	handler := &peerHandler{ready: make(chan struct{}), reporter: p.reporter, metrics: p.metrics}
-	p.transport = peer.NewTransport(options.Self, clock.Now, handler, faces.peers)
+	c.metrics = newMetrics()
+	handler := &peerHandler{ready: make(chan struct{}), reporter: c.reporter, metrics: c.metrics}
+	c.transport = peer.NewTransport(options.Self, clock.Now, handler, l.peers)
 	source := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	p.loop = loop.New(node.New(options, source, clock.Now()), clock, loop.Outlets{
-		Send:    p.send,
-		Table:   p.table,
-		Report:  p.reporter.report,
-		Drained: p.left,
-		InForce: func(c coltsfootward.Configuration) {
-			if p.hosted != nil {
-				p.hosted.inForce(c)
+	c.loop = loop.New(node.New(options, source, clock.Now()), clock, loop.Outlets{
+		Send:    c.send,
+		Table:   c.table,
+		Report:  c.reporter.report,
+		Drained: c.closeDrained,
+		InForce: func(configuration coltsfootward.Configuration) {
+			if c.hosted != nil {
+				c.hosted.setConfiguration(configuration)
 			}
 		},
 		CheckBackend: func() {
-			if p.hosted != nil {
-				p.hosted.checkBackend()
+			if c.hosted != nil {
+				c.hosted.checkBackend()
 			}
 		},
-		Observe: p.metrics.observe,
+		Observe: c.metrics.observe,
 	})
-	handler.loop = p.loop
-	handler.upstream = upstream.NewWithOptions(p.loop, clock, p.upstreamOptions())
-	p.metrics.inspect(p.loop)
-	if p.settings.Hosted() {
-		p.startHosted(faces, handler.upstream, documents)
+	handler.loop = c.loop
+	handler.upstream = upstream.NewWithOptions(c.loop, clock, c.upstreamOptions())
+	c.metrics.registerGauges(c.loop)
+	if c.settings.Hosted() {
+		c.startHosted(l, handler.upstream, documents)
 	} else {
-		p.serve(faces.callers, p.callerRouter())
-		p.serve(faces.backend, p.backendRouter(handler.upstream))
+		c.serve(l.callers, c.callerRouter())
+		c.serve(l.backend, c.backendRouter(handler.upstream))
 	}
 	close(handler.ready)
-	operators := operator.New(p.loop, p.table, p.reporter.timeline)
-	if p.settings.Hosted() {
+	operators := operator.New(c.loop, c.table, c.reporter.timeline)
+	if c.settings.Hosted() {
 		operators.ReadOnly()
 	}
-	p.serve(faces.operators, p.operatorRouter(operators))
-	p.started()
+	c.serve(l.operators, c.operatorRouter(operators))
+	c.reportStarted()
 	return nil
 }
 
-// close ends a face. On the hosting platform callers have been let go by then, and
-// what remains is asked of the node alone: a connection that was opened and never
-// used holds up a graceful end for 5 s, which is longer than the node has.
-func (p *parts) close(ctx context.Context, server *http.Server) error {
+// close shuts down an HTTP server. On the hosting platform the callers' connections
+// have been closed by then and the remaining requests concern this node only, so the
+// server is closed hard if the graceful shutdown fails: a connection that was opened
+// but never used delays a graceful shutdown by 5 s, which is more time than the node
+// has.
+func (c *components) close(ctx context.Context, server *http.Server) error {
 	err := server.Shutdown(ctx)
-	if err == nil || p.hosted == nil {
+	if err == nil || c.hosted == nil {
 		return err
 	}
 	return server.Close()
 }
 
-// leaveContext bounds how long the node waits for its peers' goodbyes. On the
-// hosting platform it has only its grace: a peer that is cut off never answers, and
-// a node that waited for it was ended by the platform with its last words unsaid.
-func (p *parts) leaveContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	if p.hosted == nil {
+// leaveContext bounds how long the node waits for its peers' goodbyes. On the hosting
+// platform the node has only its grace period: an unreachable peer never responds, and
+// a node that waited for it was killed by the platform before it could send its own
+// goodbyes.
+func (c *components) leaveContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	if c.hosted == nil {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, goodbyeWait)
+	return context.WithTimeout(ctx, goodbyeTimeout)
 }
 
-// goodbyeWait is how long a hosted node waits for its peers' goodbyes: a few round
+// goodbyeTimeout is how long a hosted node waits for its peers' goodbyes: a few round
 // trips between failure domains.
-const goodbyeWait = 500 * time.Millisecond
+const goodbyeTimeout = 500 * time.Millisecond
 
-func (p *parts) upstreamOptions() upstream.Options {
-	if !p.settings.Hosted() {
+func (c *components) upstreamOptions() upstream.Options {
+	if !c.settings.Hosted() {
 		return upstream.Options{}
 	}
 	fields := hosting.Fields()
 	return upstream.Options{Routed: &fields}
 }
 
-// started tells where the node listens, since the machine may have chosen ports.
-func (p *parts) started() {
-	l := p.settings.Listen
-	p.reporter.report(record.New(record.NodeStarted, time.Now(),
+// reportStarted logs the addresses that the node listens on, because the operating
+// system may have chosen the ports.
+func (c *components) reportStarted() {
+	l := c.settings.Listen
+	c.reporter.report(record.New(record.NodeStarted, time.Now(),
 		record.Field{Name: "callers", Value: l.Callers}, record.Field{Name: "backend", Value: l.Backend},
 		record.Field{Name: "peers", Value: l.Peers}, record.Field{Name: "operators", Value: l.Operators}))
 }
 
-func (p *parts) send(to coltsfootward.Instance, m message.Message) {
-	p.reporter.stamp(m)
-	p.transport.Send(to, m)
+func (c *components) send(to coltsfootward.Instance, m message.Message) {
+	c.reporter.stamp(m)
+	c.transport.Send(to, m)
 }
 
-func (p *parts) left() { p.once.Do(func() { close(p.drained) }) }
+func (c *components) closeDrained() { c.once.Do(func() { close(c.drained) }) }
 
-// stop leaves gracefully: the machine announces it, takes no new work and
-// finishes what runs; only then do the faces close.
-func (p *parts) stop(ctx context.Context) error {
-	var all []error
-	if p.hosted != nil {
+// stop stops the node gracefully: the state machine announces the stop, accepts no new
+// work and finishes the running requests. The listeners are closed after that.
+func (c *components) stop(ctx context.Context) error {
+	var errs []error
+	if c.hosted != nil {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, p.settings.Stop.Grace-finishMargin)
+		ctx, cancel = context.WithTimeout(ctx, c.settings.Stop.Grace-closeMargin)
 		defer cancel()
-		all = append(all, p.hosted.stop(ctx))
+		errs = append(errs, c.hosted.stop(ctx))
 	} else {
-		p.loop.Post(node.DrainRequested{})
+		c.loop.Post(node.DrainRequested{})
 		select {
-		case <-p.drained:
+		case <-c.drained:
 		case <-ctx.Done():
 		}
 	}
-	leave, cancel := p.leaveContext(ctx)
+	leave, cancel := c.leaveContext(ctx)
 	defer cancel()
-	for _, server := range p.servers {
-		all = append(all, p.close(leave, server))
+	for _, server := range c.servers {
+		errs = append(errs, c.close(leave, server))
 	}
-	p.transport.Shutdown(leave)
-	p.transport.Close()
-	p.loop.Close()
-	p.wait.Wait()
-	p.table.Close()
-	p.reporter.report(record.New(record.NodeStopped, time.Now()))
-	return errors.Join(all...)
+	c.transport.Shutdown(leave)
+	c.transport.Close()
+	c.loop.Close()
+	c.wait.Wait()
+	c.table.Close()
+	c.reporter.report(record.New(record.NodeStopped, time.Now()))
+	return errors.Join(errs...)
 }
--- a/cmd/daemon/peer.go
+++ b/cmd/daemon/peer.go
@@ -14,10 +14,11 @@
 	"coltsfootward/io/upstream"
 )
 
-// peerHandler brings what peers send to the machine and the backend server.
+// peerHandler passes messages from peers to the state machine and calls from peers to
+// the backend server.
 type peerHandler struct {
-	// ready is closed once the fields below it are set: peers may connect
-	// before everything is wired, and wait for it.
+	// ready is closed once the loop and upstream fields are set. Peers may connect
+	// before that; the methods wait for it.
 	ready    chan struct{}
 	reporter *reporter
 	loop     *loop.Loop
@@ -34,17 +35,17 @@
 // ServeMessage implements peer.Handler.
 func (h *peerHandler) ServeMessage(from coltsfootward.Instance, m message.Message, age time.Duration) {
 	<-h.ready
-	h.reporter.heard(m)
+	h.reporter.observeClock(m)
 	h.loop.Post(node.MessageArrived{From: from.ID, Message: m, Age: age})
 }
 
-// PeerConnected implements peer.Handler. Connections come and go by the hundred as
-// callers' requests find their way, so they are counted and told of now and then.
+// PeerConnected implements peer.Handler. Forwarded requests open and close hundreds of
+// connections, so they are counted and logged at intervals, not one by one.
 func (h *peerHandler) PeerConnected(coltsfootward.Instance) {
 	<-h.ready
 	h.metrics.connections.connected()
-	if made, ok := h.metrics.connections.due(time.Now()); ok {
-		h.reporter.event(record.PeersConnected, "count", strconv.Itoa(made))
+	if opened, ok := h.metrics.connections.dueReport(time.Now()); ok {
+		h.reporter.event(record.PeersConnected, "count", strconv.Itoa(opened))
 	}
 }
 
