--- a/cmd/explain/cause.go
+++ b/cmd/explain/cause.go
@@ -8,73 +8,76 @@
 	"coltsfootward/core/record"
 )
 
-// Explanation is what the logs tell of one request.
+// Explanation describes the course and the end of one request, as found in the logs.
 type Explanation struct {
 	Request string `json:"request"`
-	// Lines are in the order of their times. Clocks of nodes differ a little.
+	// Lines are the request's log lines, ordered by time. The clocks of nodes differ a
+	// little, so lines of different nodes may be out of order.
 	Lines []Line `json:"lines"`
-	// Cause is a sentence that says what ended the request and on what grounds.
+	// Cause is a sentence that states what ended the request and why.
 	Cause string `json:"cause"`
-	// Dropped are lines that were left out of the logs and may have told more.
+	// Dropped counts lines that nodes dropped from their logs and that may concern this
+	// request.
 	Dropped []Drop `json:"dropped"`
 }
 
-// cause puts in words what ended a request, by its lines in order.
+// cause describes what ended a request, given its lines in order.
 func cause(lines []Line) string {
-	refused, ok := last(lines, record.RequestRefused)
+	refused, ok := lastWithCode(lines, record.RequestRefused)
 	if !ok {
 		return notRefused(lines)
 	}
-	where := fmt.Sprintf("%s refused it after %s as %s", refused.Node, waited(refused), refused.Fields["kind"])
-	return where + ": " + grounds(lines, refused) + "." + outcome(refused)
+	where := fmt.Sprintf("%s refused it after %s as %s", refused.Node, waitTime(refused), refused.Fields["kind"])
+	return where + ": " + refusalReason(lines, refused) + "." + outcome(refused)
 }
 
-// notRefused tells of a request of which no refusal to its caller was logged.
+// notRefused describes a request for which no refusal to its caller was logged.
 func notRefused(lines []Line) string {
-	failed, ok := last(lines, record.AttemptFailed)
+	failed, ok := lastWithCode(lines, record.AttemptFailed)
 	if !ok {
-		refused, _ := last(lines, record.CallRefused)
-		return fmt.Sprintf("%s refused it for its backend server (%s); how it ended for its caller was not logged.", refused.Node, refused.Fields["detail"])
+		refused, _ := lastWithCode(lines, record.CallRefused)
+		return fmt.Sprintf("%s refused it for its backend server (%s); the outcome for its caller was not logged.", refused.Node, refused.Fields["detail"])
 	}
-	return fmt.Sprintf("Attempt %s at %s failed (%s) and no refusal followed: a later attempt was answered, or the caller left.",
+	return fmt.Sprintf("Attempt %s at %s failed (%s) and no refusal followed: a later attempt got a response, or the caller cancelled the request.",
 		failed.Fields["hop"], failed.Fields["instance"], failed.Fields["detail"])
 }
 
-// grounds says what decided a refusal.
-func grounds(lines []Line, refused Line) string {
+// refusalReason describes why a request was refused.
+func refusalReason(lines []Line, refused Line) string {
 	f := refused.Fields
 	switch kind := coltsfootward.RefusalKind(f["kind"]); {
 	case kind == coltsfootward.RefusalOverRate && f["parts"] != "":
-		return fmt.Sprintf("organisation %s has %s a second and a burst of %s (revision %s), and none of its parts had a token: %s",
+		return fmt.Sprintf("organisation %s has a rate of %s requests per second and a burst of %s (revision %s), and no part of the rate had a token: %s",
 			f["organisation"], f["rate"], f["burst"], f["revision"], f["parts"])
 	case f["full"] != "":
-		return fmt.Sprintf("it needs service %s, whose servers want %s of the demand refused (told %s ago), so ranks above %s are refused and its own is %s%s",
-			f["full"], f["excess"], f["age"], f["limit"], f["rank"], cold(refused, "; of these servers so many are cold, for another %s, that the service bears little"))
+		return fmt.Sprintf("it needs service %s, whose servers request that a fraction of %s of the demand be refused (reported %s ago), so requests with a rank above %s are refused and this one has rank %s%s",
+			f["full"], f["excess"], f["age"], f["limit"], f["rank"], coldTime(refused, "; so many of these servers are cold, for another %s, that the service can handle little"))
 	case kind == coltsfootward.RefusalNoUpstream && f["known"] != "":
-		return fmt.Sprintf("of %s backend servers of %s that are known, %s were tried, %s are ejected after failures, %s suspected, %s behind a cut%s",
+		return fmt.Sprintf("of %s known backend servers of %s, %s were tried, %s are ejected after failures, %s suspected, %s unreachable%s",
 			f["known"], f["service"], f["tried"], f["ejected"], f["suspected"], f["unreachable"], outOfService(refused))
 	case kind == coltsfootward.RefusalOverloaded:
-		if full, ok := last(lines, record.CallRefused); ok {
-			return busy(full)
+		if callRefused, ok := lastWithCode(lines, record.CallRefused); ok {
+			return backendLoad(callRefused)
 		}
 	case kind == coltsfootward.RefusalTimeout:
-		return timedOut(lines, refused)
+		return timeoutReason(lines, refused)
 	}
-	if failed, ok := last(lines, record.AttemptFailed); ok && f["hops"] != "0" {
+	if failed, ok := lastWithCode(lines, record.AttemptFailed); ok && f["hops"] != "0" {
 		return fmt.Sprintf("attempt %s at %s ended after %s: %s", failed.Fields["hop"], failed.Fields["instance"], failed.Fields["took"], f["detail"])
 	}
 	return f["detail"]
 }
 
-// busy says how full a backend server was.
-func busy(refused Line) string {
+// backendLoad describes the load of the backend server that refused a call.
+func backendLoad(refused Line) string {
 	f := refused.Fields
-	return fmt.Sprintf("at %s, with %s of %s running and %s waiting (%s of work) and %s of the request's time left, %s%s",
-		refused.Node, f["running"], f["limit"], f["queued"], f["backlog"], f["left"], f["detail"], cold(refused, "; it is cold for another %s"))
+	return fmt.Sprintf("at %s, with %s requests running (limit %s), %s queued (%s of work) and %s left until the request's deadline: %s%s",
+		refused.Node, f["running"], f["limit"], f["queued"], f["backlog"], f["left"], f["detail"], coldTime(refused, "; it is cold for another %s"))
 }
 
-// cold says how much longer servers are cold, if a refusal was due to that.
-func cold(refused Line, format string) string {
+// coldTime formats the remaining time for which servers are cold. It returns "" if the
+// refusal was not due to cold servers.
+func coldTime(refused Line, format string) string {
 	left := refused.Fields["cold"]
 	if left == "" {
 		return ""
@@ -82,7 +85,7 @@
 	return fmt.Sprintf(format, left)
 }
 
-// outOfService names the failure domains that get no work, if there are any.
+// outOfService lists the failure domains that were out of service, if any.
 func outOfService(refused Line) string {
 	out := refused.Fields["out_of_service"]
 	if out == "" {
@@ -91,12 +94,12 @@
 	return " or in a failure domain out of service (" + out + ")"
 }
 
-// timedOut says where a request's time went.
-func timedOut(lines []Line, refused Line) string {
+// timeoutReason describes where the time of a timed-out request was spent.
+func timeoutReason(lines []Line, refused Line) string {
 	f := refused.Fields
 	text := fmt.Sprintf("%s at hop %s", f["detail"], f["hops"])
 	if f["instance"] != "" {
-		text += fmt.Sprintf(", under way to %s of service %s", f["instance"], f["service"])
+		text += fmt.Sprintf(", during an attempt at %s of service %s", f["instance"], f["service"])
 	}
 	var spent []string
 	for _, line := range lines {
@@ -105,20 +108,20 @@
 		}
 	}
 	if len(spent) > 0 {
-		text += "; before that " + strings.Join(spent, ", ")
+		text += "; earlier attempts: " + strings.Join(spent, ", ")
 	}
 	return text
 }
 
-// outcome says what the caller may conclude.
+// outcome states whether the request was executed and when the caller may retry.
 func outcome(refused Line) string {
 	if refused.Fields["execution"] == string(coltsfootward.ExecutionNotRun) {
-		return fmt.Sprintf(" It has not run; the caller was asked back after %s.", refused.Fields["retry_after"])
+		return fmt.Sprintf(" It was not executed; the caller was told to retry after %s.", refused.Fields["retry_after"])
 	}
-	return " Whether it ran is not known."
+	return " It is not known whether it was executed."
 }
 
-func last(lines []Line, code record.Code) (Line, bool) {
+func lastWithCode(lines []Line, code record.Code) (Line, bool) {
 	for i := len(lines) - 1; i >= 0; i-- {
 		if lines[i].Code == int(code) {
 			return lines[i], true
@@ -127,9 +130,9 @@
 	return Line{}, false
 }
 
-// waited is how long a request had waited; one that was refused as it came has no
-// such field.
-func waited(refused Line) string {
+// waitTime returns how long a request had waited. The field "waited" is missing if the
+// request was refused on arrival.
+func waitTime(refused Line) string {
 	if d := refused.Fields["waited"]; d != "" {
 		return d
 	}
--- a/cmd/explain/doc.go
+++ b/cmd/explain/doc.go
@@ -1,7 +1,7 @@
-// Package explain follows one request through the logs of many nodes, from its id
-// to what ended it.
+// Package explain traces one request through the logs of many nodes and determines what
+// ended it. It also summarises the causes of refusals and failed attempts.
 //
-// It reads JSON lines as nodes write them, plain or with a time and an instance
-// before each, and keeps no more than it needs to tell of one request or to count
-// causes, so that logs of any length can be read from a pipe.
+// It reads the JSON lines that nodes write, optionally prefixed by a time and an
+// instance. It keeps only the lines of one request, or counts of causes, in memory, so
+// that logs of any length can be read from a pipe.
 package explain
--- a/cmd/explain/explain_test.go
+++ b/cmd/explain/explain_test.go
@@ -11,8 +11,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// log is what four nodes wrote, some of it with a time and an instance before it and
-// with other programs' lines between.
+// log holds lines of three nodes. Some have a time and an instance as a prefix, and
+// one line was written by another program.
 const log = `-0.0011 north-1 {"level":"info","ts":1700000000.000,"msg":"node_started","node":"north-1","domain":"north","code":101,"callers":"10.0.0.1:1"}
 panic in some other program {"code": broken
 1.20 north-1 {"level":"info","ts":1700000001.200,"msg":"request_refused","node":"north-1","domain":"north","code":201,"request":"r-rate","kind":"over_rate","execution":"not_run","detail":"the organisation is above its rate and burst","retry_after":"115ms","service":"quotes","route":"live","organisation":"traders","waited":"15ms","left":"1s","hops":"0","rate":"5.00","burst":"5","revision":"8","parts":"south/0 at south-2: 0 left 1ms ago, asked again in 80ms"}
@@ -35,9 +35,9 @@
 {"level":"info","ts":1700000008.500,"msg":"records_dropped","node":"north-2","domain":"north","code":106,"of":"901","count":"9"}
 `
 
-func read(t *testing.T, take func(explain.Line)) {
+func read(t *testing.T, handle func(explain.Line)) {
 	t.Helper()
-	if err := explain.Read(strings.NewReader(log), take); err != nil {
+	if err := explain.Read(strings.NewReader(log), handle); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -46,7 +46,7 @@
 	var page strings.Builder
 	for _, request := range []string{"r-rate", "r-full", "r-gate", "r-lost", "r-none", "r-out", "r-cold-gate", "r-cold", "r-slow", "r-saved"} {
 		search := explain.NewSearch(request)
-		read(t, search.Take)
+		read(t, search.Add)
 		found, ok := search.Result()
 		if !ok {
 			t.Fatalf("found nothing of %s", request)
@@ -56,10 +56,10 @@
 	goldie.New(t).Assert(t, "causes", []byte(page.String()))
 }
 
-// Guards against a search by kind that tells only what came after the refusal.
-func TestFirstOfAKindHasEarlierLines(t *testing.T) {
+// Guards against a search by kind that omits the request's lines before the refusal.
+func TestSearchFirstIncludesEarlierLines(t *testing.T) {
 	search := explain.NewSearchFirst("connection_lost")
-	read(t, search.Take)
+	read(t, search.Add)
 	found, ok := search.Result()
 	if !ok || found.Request != "r-lost" || len(found.Lines) != 2 {
 		t.Errorf("got %+v, want both lines of r-lost", found)
@@ -68,7 +68,7 @@
 
 func TestUnknownRequestIsNotFound(t *testing.T) {
 	search := explain.NewSearch("r-nobody")
-	read(t, search.Take)
+	read(t, search.Add)
 	if found, ok := search.Result(); ok {
 		t.Errorf("got %+v, want nothing", found)
 	}
@@ -76,7 +76,7 @@
 
 func TestSummary(t *testing.T) {
 	summary := explain.NewSummary()
-	read(t, summary.Take)
+	read(t, summary.Add)
 	page, err := json.MarshalIndent(map[string]any{
 		"causes": summary.Causes(), "rows": summary.Rows(), "worst": summary.Worst(2), "dropped": summary.Dropped,
 	}, "", "  ")
@@ -86,7 +86,8 @@
 	goldie.New(t).Assert(t, "summary", page)
 }
 
-// Guards against a line of another program that ends the reading of a log.
+// Guards against a reader that stops at a line of another program that exceeds the
+// maximum length.
 func TestOverlongLineIsSkipped(t *testing.T) {
 	long := strings.Repeat("x", 3<<20) + "\n"
 	count := 0
--- a/cmd/explain/line.go
+++ b/cmd/explain/line.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// maximumLine bounds a log line in bytes. A longer one is skipped.
-const maximumLine = 1 << 20
+// maximumLineBytes bounds the length of a log line. Longer lines are skipped.
+const maximumLineBytes = 1 << 20
 
 // Line is one event of a node's log.
 type Line struct {
-	// Time is when the node wrote it, by its wall clock.
+	// Time is when the node wrote the line, by the node's wall clock.
 	Time   time.Time         `json:"time"`
 	Node   string            `json:"node"`
 	Domain string            `json:"domain,omitempty"`
@@ -25,7 +25,7 @@
 	Fields map[string]string `json:"fields"`
 }
 
-// count returns the number in the field count; zero if there is none.
+// count returns the number in the field "count", or zero if there is none.
 func (l Line) count() int {
 	count, err := strconv.Atoi(l.Fields["count"])
 	if err != nil {
@@ -34,19 +34,19 @@
 	return count
 }
 
-// Request returns the id of the request that the line is about; empty for none.
+// Request returns the id of the request that the line is about, or "" if there is none.
 func (l Line) Request() string { return l.Fields["request"] }
 
-// Read calls take with each line of the log that tells of an event. What is no such
-// line is passed over: logs come with other programs' output between.
-func Read(r io.Reader, take func(Line)) error {
-	reader := bufio.NewReaderSize(r, maximumLine)
+// Read calls handle with each line of the log that describes an event of a node. It
+// skips all other lines, because logs may be mixed with the output of other programs.
+func Read(r io.Reader, handle func(Line)) error {
+	reader := bufio.NewReaderSize(r, maximumLineBytes)
 	for {
 		text, err := reader.ReadSlice('\n')
 		switch {
 		case err == nil || errors.Is(err, io.EOF):
 			if line, ok := parse(text); ok {
-				take(line)
+				handle(line)
 			}
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
@@ -60,18 +60,19 @@
 	}
 }
 
-// parse takes the JSON object that ends the line.
+// parse decodes the JSON object at the end of a line. It returns false if the line does
+// not describe an event of a node.
 func parse(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 || !bytes.Contains(text, []byte(`"code"`)) {
 		return Line{}, false
 	}
-	var found map[string]any
-	if json.Unmarshal(text[start:], &found) != nil {
+	var object map[string]any
+	if json.Unmarshal(text[start:], &object) != nil {
 		return Line{}, false
 	}
 	line := Line{Fields: make(map[string]string)}
-	for name, value := range found {
+	for name, value := range object {
 		switch name {
 		case "ts":
 			seconds, _ := value.(float64)
--- a/cmd/explain/search.go
+++ b/cmd/explain/search.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	// recentLines is how many lines about requests a search by kind remembers, so
-	// that it can tell what came before the request was known to be the one.
+	// recentLines is how many lines about requests a search by kind keeps, so that it
+	// has the lines that precede the refusal that selects the request.
 	recentLines = 100_000
-	// maximumDrops bounds the reports of dropped lines that a search remembers.
+	// maximumDrops bounds the reports of dropped lines that a search keeps.
 	maximumDrops = 100_000
-	// dropMargin is how far from a request's lines dropped ones may have told of it.
+	// dropMargin is how long before the first or after the last line of a request a
+	// report of dropped lines may still concern that request.
 	dropMargin = 2 * time.Second
 )
 
-// Drop says that a node left lines of one kind out of its log.
+// Drop reports that a node dropped lines with one code from its log.
 type Drop struct {
-	// Time is when the node said so; the lines are of the second before.
+	// Time is when the node reported it. The lines were dropped in the second before.
 	Time  time.Time `json:"time"`
 	Node  string    `json:"node"`
 	Code  int       `json:"code"`
 	Count int       `json:"count"`
 }
 
-// Search collects what the logs tell of one request. Create it with NewSearch or
+// Search collects the log lines of one request. Create it with NewSearch or
 // NewSearchFirst.
 type Search struct {
 	request string
 	kind    string
 	lines   []Line
-	// recent holds the latest lines about requests, as a ring, while the request is
-	// not known.
+	// recent is a ring buffer of the latest lines about any request. It is used until
+	// the request is selected.
 	recent []Line
 	next   int
 	drops  []Drop
 }
 
-// NewSearch returns a search for a request by its id.
+// NewSearch returns a search for the request with the given id.
 func NewSearch(request string) *Search { return &Search{request: request} }
 
-// NewSearchFirst returns a search for the first request that was refused as kind.
+// NewSearchFirst returns a search for the first request that was refused with kind.
 func NewSearchFirst(kind string) *Search { return &Search{kind: kind} }
 
-// Take takes in the next line.
-func (s *Search) Take(line Line) {
+// Add processes the next line.
+func (s *Search) Add(line Line) {
 	if line.Code == int(record.RecordsDropped) {
-		s.dropped(line)
+		s.addDrop(line)
 		return
 	}
 	request := line.Request()
@@ -58,9 +59,9 @@
 		return
 	}
 	if s.request == "" {
-		s.remember(line)
+		s.keepRecent(line)
 		if line.Code == int(record.RequestRefused) && line.Fields["kind"] == s.kind {
-			s.found(request)
+			s.selectRequest(request)
 		}
 		return
 	}
@@ -69,19 +70,19 @@
 	}
 }
 
-func (s *Search) dropped(line Line) {
+func (s *Search) addDrop(line Line) {
 	code, err := strconv.Atoi(line.Fields["of"])
-	if err != nil || !aboutRequests(record.Code(code)) || len(s.drops) >= maximumDrops {
+	if err != nil || !isRequestCode(record.Code(code)) || len(s.drops) >= maximumDrops {
 		return
 	}
 	s.drops = append(s.drops, Drop{Time: line.Time, Node: line.Node, Code: code, Count: line.count()})
 }
 
-func aboutRequests(code record.Code) bool {
+func isRequestCode(code record.Code) bool {
 	return code == record.RequestRefused || code == record.AttemptFailed || code == record.CallRefused
 }
 
-func (s *Search) remember(line Line) {
+func (s *Search) keepRecent(line Line) {
 	if len(s.recent) < recentLines {
 		s.recent = append(s.recent, line)
 		return
@@ -90,8 +91,8 @@
 	s.next = (s.next + 1) % recentLines
 }
 
-// found settles on a request and takes over what was remembered of it.
-func (s *Search) found(request string) {
+// selectRequest selects the request and moves its recent lines to the result.
+func (s *Search) selectRequest(request string) {
 	s.request = request
 	for _, line := range s.recent {
 		if line.Request() == request {
@@ -101,7 +102,7 @@
 	s.recent = nil
 }
 
-// Result returns what was found, or false if the logs tell nothing of the request.
+// Result returns the explanation, or false if the logs have no line of the request.
 func (s *Search) Result() (Explanation, bool) {
 	if len(s.lines) == 0 {
 		return Explanation{}, false
@@ -111,8 +112,8 @@
 	return Explanation{Request: s.request, Lines: lines, Cause: cause(lines), Dropped: s.dropsNear(lines)}, true
 }
 
-// dropsNear returns the dropped lines that may have told of the request: those of
-// the nodes that it passed, at about its time.
+// dropsNear returns the drops that may concern the request: those of the nodes that
+// handled it, within dropMargin of its lines.
 func (s *Search) dropsNear(lines []Line) []Drop {
 	nodes := make(map[string]bool)
 	for _, line := range lines {
--- a/cmd/explain/summary.go
+++ b/cmd/explain/summary.go
@@ -11,45 +11,46 @@
 	"coltsfootward/core/record"
 )
 
-// Summary counts refusals to callers and failed attempts by their causes. Create it
-// with NewSummary.
+// Summary counts refusals and failed attempts by their causes. Create it with
+// NewSummary.
 type Summary struct {
 	counts map[SummaryKey]int
 	nodes  map[string]int
-	// Dropped is how many lines the nodes left out of their logs.
+	// Dropped is how many lines the nodes dropped from their logs.
 	Dropped int
 }
 
-// SummaryKey is what is counted together.
+// SummaryKey identifies one count. Lines with the same key are counted together.
 type SummaryKey struct {
-	// Second is when, by the nodes' wall clocks.
+	// Second is the time, truncated to a second, by the nodes' wall clocks.
 	Second  time.Time `json:"second"`
 	Event   string    `json:"event"`
 	Kind    string    `json:"kind"`
 	Service string    `json:"service"`
 	Domain  string    `json:"domain"`
-	// Cause is the full service for a refusal at a gate, else the detail.
+	// Cause names the saturated service if a request was refused because a service that
+	// it needs has no capacity. Otherwise it is the detail of the refusal or failure.
 	Cause string `json:"cause"`
 }
 
-// SummaryRow is one count.
+// SummaryRow is one count with its key.
 type SummaryRow struct {
 	SummaryKey
 	Count int `json:"count"`
 }
 
-// NewSummary returns a summary of nothing.
+// NewSummary returns an empty summary.
 func NewSummary() *Summary {
 	return &Summary{counts: make(map[SummaryKey]int), nodes: make(map[string]int)}
 }
 
-// Take takes in the next line.
-func (s *Summary) Take(line Line) {
+// Add processes the next line.
+func (s *Summary) Add(line Line) {
 	if line.Code == int(record.RecordsDropped) {
 		s.Dropped += line.count()
 		return
 	}
-	if !aboutRequests(record.Code(line.Code)) {
+	if !isRequestCode(record.Code(line.Code)) {
 		return
 	}
 	key := SummaryKey{
@@ -63,7 +64,7 @@
 	s.nodes[line.Node]++
 }
 
-// Rows returns the counts in the order of their times, the greatest of a second first.
+// Rows returns the counts ordered by time, and by descending count within a second.
 func (s *Summary) Rows() []SummaryRow {
 	rows := make([]SummaryRow, 0, len(s.counts))
 	for key, count := range s.counts {
@@ -75,7 +76,8 @@
 	return rows
 }
 
-// Causes returns the counts over all seconds and failure domains, the greatest first.
+// Causes returns the counts summed over all seconds and failure domains, in descending
+// order.
 func (s *Summary) Causes() []SummaryRow {
 	sums := make(map[SummaryKey]int)
 	for key, count := range s.counts {
@@ -92,7 +94,8 @@
 	return rows
 }
 
-// Worst returns up to count nodes with the most lines, the worst first.
+// Worst returns up to count nodes with the most counted lines, each followed by its
+// number of lines, in descending order.
 func (s *Summary) Worst(count int) []string {
 	nodes := slices.SortedFunc(maps.Keys(s.nodes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.nodes[b], s.nodes[a]), cmp.Compare(a, b))
