--- a/cmd/logging/logging.go
+++ b/cmd/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging writes log lines without ever holding up whoever logs.
+// Package logging writes log lines asynchronously, so that logging never blocks.
 package logging
 
 import (
@@ -10,13 +10,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ringLines is how many lines may wait for the output: a few seconds' worth under
-// load, and at 300 bytes each about 300 KB.
-const ringLines = 1024
+// maximumQueuedLines is how many lines may wait for the output: the lines of a few
+// seconds under load. At 300 bytes per line they use about 300 KB.
+const maximumQueuedLines = 1024
 
-// Writer hands lines to an output through a bounded ring. A line that finds the
-// ring full is dropped and counted: an output that blocks, such as a pipe that
-// nobody reads, would else stop the node. Create it with NewWriter. It is safe for
+// Writer writes lines to an output through a bounded queue. When the queue is full, new
+// lines are dropped and counted: otherwise an output that blocks, such as a pipe that no
+// process reads, would stop the node. Create it with NewWriter. It is safe for
 // concurrent use.
 type Writer struct {
 	output  io.Writer
@@ -29,12 +29,12 @@
 
 // NewWriter returns a writer that runs until Close.
 func NewWriter(output io.Writer) *Writer {
-	w := &Writer{output: output, lines: make(chan []byte, ringLines), done: make(chan struct{})}
+	w := &Writer{output: output, lines: make(chan []byte, maximumQueuedLines), done: make(chan struct{})}
 	w.wait.Go(w.run)
 	return w
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (w *Writer) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -45,13 +45,14 @@
 	return len(p), nil
 }
 
-// Sync implements zapcore.WriteSyncer; what waits is written by Close.
+// Sync implements zapcore.WriteSyncer. It does nothing; Close writes the queued lines.
 func (w *Writer) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns how many lines have been dropped so far, including lines that the
+// output failed to write.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the writer.
+// Close writes the queued lines and stops the writer.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.done) })
 	w.wait.Wait()
@@ -80,15 +81,16 @@
 	}
 }
 
-// write counts a line that the output did not take: there is nowhere else to say so.
+// write counts a line as dropped if the output returns an error, since there is no other
+// place to report it.
 func (w *Writer) write(line []byte) {
 	if _, err := w.output.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
 }
 
-// New returns a logger of JSON lines to w that passes every level; the daemon holds
-// it to the one of the settings.
+// New returns a logger that writes JSON lines of all levels to w. The daemon restricts
+// it to the level in the settings.
 func New(w *Writer) *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
 	return zap.New(zapcore.NewCore(encoder, w, zap.DebugLevel))
--- a/cmd/logging/logging_test.go
+++ b/cmd/logging/logging_test.go
@@ -11,21 +11,21 @@
 	"go.uber.org/zap"
 )
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedOutput is an output that blocks until it is released.
+type blockedOutput struct {
 	release chan struct{}
-	taken   bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
-	return s.taken.Write(p)
+	return s.written.Write(p)
 }
 
-// Nobody reads the pipe that a node logs to. Whoever logs goes on at once, the
-// memory for lines is bounded, and what was dropped is counted.
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	output := &stuck{release: make(chan struct{})}
+// A node logs to a pipe that no process reads. Logging must not block, the memory for
+// queued lines must stay bounded, and the dropped lines must be counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{})}
 	w := logging.NewWriter(output)
 	logger := logging.New(w)
 	const lines = 5000
@@ -39,11 +39,11 @@
 	select {
 	case <-finished:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging waits for the output")
+		t.Fatal("logging blocks on the output")
 	}
 	close(output.release)
 	w.Close()
-	written := strings.Count(output.taken.String(), "\n")
+	written := strings.Count(output.written.String(), "\n")
 	if written+int(w.Dropped()) != lines || written > 1100 {
 		t.Errorf("%d lines written and %d dropped of %d, want about 1024 written and the rest dropped", written, w.Dropped(), lines)
 	}
--- a/cmd/settings/field.go
+++ b/cmd/settings/field.go
@@ -14,24 +14,24 @@
 
 // Field is one setting.
 type Field struct {
-	// Key is its full name, as in listen.callers.
+	// Key is the full name of the setting, such as listen.callers.
 	Key string
-	// Unit is what its value counts or holds.
+	// Unit is the unit or the type of the value.
 	Unit string
-	// Range says which values are allowed.
+	// Range describes the allowed values.
 	Range string
-	// Meaning says what it does.
+	// Meaning describes the effect of the setting.
 	Meaning string
 	// required fields have no default.
 	required bool
 	// target returns a pointer to the value in s.
 	target func(s *Settings) any
-	// check returns what is wrong with the value in s, or "".
+	// check returns a description of what is wrong with the value in s, or "".
 	check func(s *Settings) string
 }
 
-// Default returns the default as it is written in a file; a required setting
-// has none.
+// Default returns the default value in TOML syntax, or "required" if the setting is
+// required and has no default.
 func (f Field) Default() string {
 	if f.required {
 		return "required"
@@ -60,8 +60,9 @@
 // Target returns a pointer to the field's value in s.
 func (f Field) Target(s *Settings) any { return f.target(s) }
 
-// take puts a value from a file into s and returns what is wrong with it, or "".
-func (f Field) take(s *Settings, value any, given bool) string {
+// set stores a value from a file in s. It returns a description of what is wrong with
+// the value, or "". given is false if the file does not set the field.
+func (f Field) set(s *Settings, value any, given bool) string {
 	if !given {
 		if f.required {
 			return fmt.Sprintf("is missing: give %s", f.Range)
@@ -69,24 +70,24 @@
 		return ""
 	}
 	if !assign(f.target(s), value) {
-		return fmt.Sprintf("is %v: give %s", shown(value), f.Range)
+		return fmt.Sprintf("is %v: give %s", showValue(value), f.Range)
 	}
 	if problem := f.check(s); problem != "" {
-		return fmt.Sprintf("is %v: %s", shown(value), problem)
+		return fmt.Sprintf("is %v: %s", showValue(value), problem)
 	}
 	return ""
 }
 
-// maximumShown bounds how much of a bad value is shown.
-const maximumShown = 80
+// maximumShownBytes bounds how much of an invalid value an error message shows.
+const maximumShownBytes = 80
 
-func shown(value any) string {
+func showValue(value any) string {
 	text := fmt.Sprint(value)
 	if _, ok := value.(string); ok {
 		text = fmt.Sprintf("%q", value)
 	}
-	if len(text) > maximumShown {
-		return strings.ToValidUTF8(text[:maximumShown], "") + "..."
+	if len(text) > maximumShownBytes {
+		return strings.ToValidUTF8(text[:maximumShownBytes], "") + "..."
 	}
 	return text
 }
@@ -95,11 +96,11 @@
 func assign(target, value any) bool {
 	switch p := target.(type) {
 	case *string:
-		return store(p, value)
+		return assignValue(p, value)
 	case *bool:
-		return store(p, value)
+		return assignValue(p, value)
 	case *int64:
-		return store(p, value)
+		return assignValue(p, value)
 	case *int:
 		n, ok := value.(int64)
 		*p = int(n)
@@ -109,7 +110,7 @@
 			*p = float64(n)
 			return true
 		}
-		return store(p, value)
+		return assignValue(p, value)
 	case *time.Duration:
 		text, ok := value.(string)
 		parsed, err := time.ParseDuration(text)
@@ -122,9 +123,9 @@
 	}
 }
 
-func store[T any](p *T, value any) bool {
-	found, ok := value.(T)
-	*p = found
+func assignValue[T any](p *T, value any) bool {
+	typed, ok := value.(T)
+	*p = typed
 	return ok
 }
 
@@ -143,7 +144,7 @@
 	return true
 }
 
-// The makers of fields.
+// The functions below create fields of different types.
 
 const nameRange = "1 to 64 letters, digits, dots, dashes or underscores"
 
@@ -154,7 +155,7 @@
 		Key: key, Unit: "name", Range: nameRange, Meaning: meaning, required: true,
 		target: func(s *Settings) any { return target(s) },
 		check: func(s *Settings) string {
-			return unless(namePattern.MatchString(*target(s)), "give "+nameRange)
+			return problemUnless(namePattern.MatchString(*target(s)), "give "+nameRange)
 		},
 	}
 }
@@ -166,12 +167,12 @@
 		check: func(s *Settings) string {
 			list := *target(s)
 			bad := slices.ContainsFunc(list, func(text string) bool { return !namePattern.MatchString(text) })
-			return unless(len(list) >= 1 && len(list) <= 64 && !bad, "give 1 to 64 names, each of "+nameRange)
+			return problemUnless(len(list) >= 1 && len(list) <= 64 && !bad, "give 1 to 64 names, each of "+nameRange)
 		},
 	}
 }
 
-// contactRange is how a contact is written.
+// contactRange describes the syntax of a contact.
 const contactRange = "DOMAIN/ID/ADDRESS each, as in north/quotes-1/10.0.0.1:7003"
 
 func contacts(key, meaning string, target func(*Settings) *[]string) Field {
@@ -204,16 +205,18 @@
 	}, true
 }
 
-// addressKind says who has to reach an address.
+// addressKind describes which addresses a setting allows. Its text is the setting's
+// range.
 type addressKind string
 
 const (
-	// reachable addresses are told to others, so they must name one interface.
+	// reachable addresses are announced to other nodes and operators, so they must not
+	// be the unspecified address.
 	reachable addressKind = "an IP number that the others reach and a port, as in 10.0.0.1:7003"
-	// listening addresses may be every interface's.
+	// listening addresses may be the unspecified address, which means all interfaces.
 	listening addressKind = "an IP number and a port, as in 10.0.0.1:7001"
-	// loopback addresses are for the local backend server only: whoever reaches
-	// that face with a call token acts for the caller's organisation.
+	// loopback addresses are for the local backend server only, because any client that
+	// sends a call token there acts on behalf of the caller's organisation.
 	loopback addressKind = "a loopback IP number and a port, as in 127.0.0.1:7002"
 )
 
@@ -226,7 +229,7 @@
 			fits := err == nil
 			fits = fits && (kind != loopback || s.Hosted() || parsed.Addr().IsLoopback())
 			fits = fits && (kind != reachable || !parsed.Addr().IsUnspecified())
-			return unless(fits, "give "+string(kind))
+			return problemUnless(fits, "give "+string(kind))
 		},
 	}
 }
@@ -237,7 +240,7 @@
 		target: func(s *Settings) any { return target(s) },
 		check: func(s *Settings) string {
 			_, err := netip.ParseAddrPort(*target(s))
-			return unless(*target(s) == "" || err == nil, "give "+string(listening))
+			return problemUnless(*target(s) == "" || err == nil, "give "+string(listening))
 		},
 	}
 }
@@ -247,7 +250,7 @@
 		Key: key, Unit: "name", Range: nameRange, Meaning: meaning,
 		target: func(s *Settings) any { return target(s) },
 		check: func(s *Settings) string {
-			return unless(*target(s) == "" || namePattern.MatchString(*target(s)), "give "+nameRange)
+			return problemUnless(*target(s) == "" || namePattern.MatchString(*target(s)), "give "+nameRange)
 		},
 	}
 }
@@ -258,19 +261,19 @@
 		Key: key, Unit: "number", Range: remedy, Meaning: meaning,
 		target: func(s *Settings) any { return target(s) },
 		check: func(s *Settings) string {
-			return unless(*target(s) >= least && *target(s) <= most, "give "+remedy)
+			return problemUnless(*target(s) >= least && *target(s) <= most, "give "+remedy)
 		},
 	}
 }
 
-func webAddress(key, meaning string, target func(*Settings) *string) Field {
+func httpURL(key, meaning string, target func(*Settings) *string) Field {
 	const remedy = "an http or https URL, as in http://10.0.0.9:7000"
 	return Field{
 		Key: key, Unit: "URL", Range: remedy, Meaning: meaning, required: true,
 		target: func(s *Settings) any { return target(s) },
 		check: func(s *Settings) string {
 			u, err := url.Parse(*target(s))
-			return unless(err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https"), "give "+remedy)
+			return problemUnless(err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https"), "give "+remedy)
 		},
 	}
 }
@@ -280,7 +283,7 @@
 	return Field{
 		Key: key, Unit: "word", Range: remedy, Meaning: meaning,
 		target: func(s *Settings) any { return target(s) },
-		check:  func(s *Settings) string { return unless(slices.Contains(allowed, *target(s)), "give "+remedy) },
+		check:  func(s *Settings) string { return problemUnless(slices.Contains(allowed, *target(s)), "give "+remedy) },
 	}
 }
 
@@ -289,24 +292,24 @@
 	return Field{
 		Key: key, Unit: "duration", Range: remedy, Meaning: meaning,
 		target: func(s *Settings) any { return target(s) },
-		check:  func(s *Settings) string { return within(*target(s), least, most, remedy) },
+		check:  func(s *Settings) string { return checkRange(*target(s), least, most, remedy) },
 	}
 }
 
-func whole[T int | int64](key, unit, meaning string, least, most T, target func(*Settings) *T) Field {
+func integer[T int | int64](key, unit, meaning string, least, most T, target func(*Settings) *T) Field {
 	remedy := fmt.Sprintf("a whole number from %d to %d", least, most)
 	return Field{
 		Key: key, Unit: unit, Range: remedy, Meaning: meaning,
 		target: func(s *Settings) any { return target(s) },
-		check:  func(s *Settings) string { return within(*target(s), least, most, remedy) },
+		check:  func(s *Settings) string { return checkRange(*target(s), least, most, remedy) },
 	}
 }
 
-func within[T int | int64 | time.Duration](value, least, most T, remedy string) string {
-	return unless(value >= least && value <= most, "give "+remedy)
+func checkRange[T int | int64 | time.Duration](value, least, most T, remedy string) string {
+	return problemUnless(value >= least && value <= most, "give "+remedy)
 }
 
-func unless(fits bool, problem string) string {
+func problemUnless(fits bool, problem string) string {
 	if fits {
 		return ""
 	}
--- a/cmd/settings/settings.go
+++ b/cmd/settings/settings.go
@@ -1,8 +1,8 @@
 // Package settings reads and checks a node's settings file.
 //
-// The table of Fields is the one place that knows a setting: its name, unit,
-// range, default and where it goes. Reading, checking and the operators' page
-// all follow it.
+// The table that Fields returns is the only definition of the settings: their names,
+// units, ranges, defaults and targets. Parsing, checking and the table of settings in the
+// operators' documentation are derived from it.
 package settings
 
 import (
@@ -20,89 +20,91 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings are a node's settings. They are plain values: copies are
-// independent but for the lists, which nothing changes.
+// Settings are a node's settings. A copy is independent except for the slices, which
+// must not be modified.
 type Settings struct {
-	// Deployment says how callers, backend servers and the platform are met.
+	// Deployment is the kind of deployment, DeploymentOwn or DeploymentHosted.
 	Deployment string
 	Instance   Instance
 	Listen     Listen
 	Backend    Backend
 	Stop       Stop
-	// PlatformURL is where the platform's table and object store are.
+	// PlatformURL is the URL of the platform's table and object store.
 	PlatformURL string
 	// MaximumBody bounds a request's body in bytes.
 	MaximumBody int64
 	Log         Log
-	// Node is what the decisions need. Self and Domains are left empty here;
-	// NodeOptions fills them in.
+	// Node holds the options of the state machine. Self, Domains, Contacts, Routed and
+	// Service are empty here and set by NodeOptions.
 	Node node.Options
 }
 
-// Instance says which instance this is.
+// Instance identifies this instance.
 type Instance struct {
 	ID     string
 	Domain string
 	// Domains lists every failure domain of the deployment.
 	Domains []string
-	// Contacts are instances to reach at the start, besides those that the
-	// platform's table names.
+	// Contacts are instances to connect to at the start, in addition to those in the
+	// platform's table.
 	Contacts []string
 }
 
-// Listen holds the addresses, each an IP number and a port.
+// Listen holds the listen addresses, each an IP address and a port.
 type Listen struct {
-	// Callers is where callers reach the node.
+	// Callers is the address for callers.
 	Callers string
-	// Backend is where the local backend server reaches the node; loopback.
+	// Backend is the address for the local backend server; loopback unless hosted.
 	Backend string
-	// Peers is where other nodes reach it.
+	// Peers is the address for other nodes.
 	Peers string
-	// Operators is where operators reach it.
+	// Operators is the address for operators.
 	Operators string
-	// Ready is where the hosting platform asks whether the node is ready; empty
-	// means nowhere.
+	// Ready is the address for the hosting platform's readiness checks. Empty means
+	// that there is none.
 	Ready string
 }
 
 // Hosted reports whether the node runs on the users' hosting platform.
 func (s Settings) Hosted() bool { return s.Deployment == DeploymentHosted }
 
-// The kinds of deployment.
+// Kinds of deployment.
 const (
-	// DeploymentOwn is the product's own: services named in the path, backend
-	// servers that announce themselves, changes made by operators' calls.
+	// DeploymentOwn uses the product's own interfaces: the path names the service,
+	// backend servers announce themselves, and operators change the configuration with
+	// API calls.
 	DeploymentOwn = "own"
-	// DeploymentHosted is met through the users' hosting platform: requests are
-	// routed by host and path, and the configuration is one stored document.
+	// DeploymentHosted runs on the users' hosting platform: requests are routed by host
+	// and path, and the configuration is one document in the object store.
 	DeploymentHosted = "hosted"
 )
 
-// Backend says which backend server runs beside the node. It is used in hosted
+// Backend identifies the backend server that runs beside the node. It is used in hosted
 // deployments only.
 type Backend struct {
 	Address string
 	Service string
 }
 
-// Stop says how a planned stop goes in a hosted deployment.
+// Stop configures the planned stop of a node in a hosted deployment.
 type Stop struct {
-	// Grace is how long after the signal the platform ends the process.
+	// Grace is the time after SIGTERM until the platform kills the process.
 	Grace time.Duration
-	// Notice is how long callers go on coming after the node said that it is
-	// not ready any more.
+	// Notice is how long callers keep sending requests after the node has started to
+	// fail the readiness checks.
 	Notice time.Duration
 }
 
-// Log says how to log.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string
-	// Timeline is how many events the time line's ring keeps.
+	// Timeline is the capacity of the timeline's ring buffer in events.
 	Timeline int
 }
 
-// Error names one bad value, its place and the remedy.
+// Error describes one invalid value: the file, the key or position, and the problem with
+// its remedy.
 type Error struct {
 	File, Key, Problem string
 }
@@ -112,7 +114,7 @@
 	return fmt.Sprintf("settings: %s: %s: %s", e.File, e.Key, e.Problem)
 }
 
-// The defaults of what is not in node.Options.
+// Defaults of the settings that are not in node.Options.
 const (
 	defaultMaximumBody = 1 << 20
 	defaultTimeline    = 4096
@@ -121,7 +123,7 @@
 	defaultNotice      = 2300 * time.Millisecond
 )
 
-// Default returns the settings that a file starts from.
+// Default returns the default settings, which a settings file overrides.
 func Default() Settings {
 	return Settings{
 		Deployment:  DeploymentOwn,
@@ -132,7 +134,8 @@
 	}
 }
 
-// Load reads and checks a file. The error joins an *Error for each bad value.
+// Load reads and checks a settings file. The error joins an *Error for each invalid
+// value.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -141,8 +144,8 @@
 	return Parse(file, data)
 }
 
-// Parse checks the text of a file; file only names it in errors. It finds
-// every bad value, not only the first.
+// Parse parses and checks the text of a settings file. The file name is only used in
+// errors. The error joins an *Error for each invalid value.
 func Parse(file string, data []byte) (Settings, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
@@ -150,22 +153,22 @@
 	}
 	s := Default()
 	given := flatten("", tree)
-	var all []error
-	bad := func(key, problem string) { all = append(all, &Error{file, key, problem}) }
+	var errs []error
+	addError := func(key, problem string) { errs = append(errs, &Error{file, key, problem}) }
 	for _, field := range Fields() {
 		value, ok := given[field.Key]
 		delete(given, field.Key)
-		if problem := field.take(&s, value, ok); problem != "" {
-			bad(field.Key, problem)
+		if problem := field.set(&s, value, ok); problem != "" {
+			addError(field.Key, problem)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(given)) {
-		bad(key, "unknown name: correct or remove it; "+nearest(key))
+		addError(key, "unknown name: correct or remove it; "+nearest(key))
 	}
-	if len(all) == 0 {
-		s.checkTogether(bad)
+	if len(errs) == 0 {
+		s.checkCombinations(addError)
 	}
-	if err := errors.Join(all...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return Settings{}, err
 	}
 	return s, nil
@@ -180,7 +183,7 @@
 	return &Error{file, "file", fmt.Sprintf("%v: correct the TOML", err)}
 }
 
-// flatten returns the values under their full names, as in listen.callers.
+// flatten returns the values by their full names, such as listen.callers.
 func flatten(prefix string, tree map[string]any) map[string]any {
 	flat := make(map[string]any)
 	for name, value := range tree {
@@ -193,24 +196,24 @@
 	return flat
 }
 
-// checkTogether checks what depends on more than one value.
-func (s Settings) checkTogether(bad func(key, problem string)) {
+// checkCombinations checks the conditions that involve more than one value.
+func (s Settings) checkCombinations(addError func(key, problem string)) {
 	if !slices.Contains(s.Instance.Domains, s.Instance.Domain) {
-		bad("instance.domains", fmt.Sprintf("does not list this instance's domain %q: list every failure domain of the deployment", s.Instance.Domain))
+		addError("instance.domains", fmt.Sprintf("does not list this instance's domain %q: list every failure domain of the deployment", s.Instance.Domain))
 	}
 	sorted := slices.Sorted(slices.Values(s.Instance.Domains))
 	if len(slices.Compact(sorted)) != len(s.Instance.Domains) {
-		bad("instance.domains", "lists a failure domain twice: list each once")
+		addError("instance.domains", "lists a failure domain twice: list each once")
 	}
 	if s.Hosted() && (s.Listen.Ready == "" || s.Backend.Address == "" || s.Backend.Service == "") {
-		bad("deployment.kind", "is hosted: give listen.ready, backend.address and backend.service too")
+		addError("deployment.kind", "is hosted: give listen.ready, backend.address and backend.service too")
 	}
 	if s.Node.MaximumTimeout < s.Node.Timeout {
-		bad("requests.maximum_timeout", fmt.Sprintf("is %v: give at least requests.timeout, %v", s.Node.MaximumTimeout, s.Node.Timeout))
+		addError("requests.maximum_timeout", fmt.Sprintf("is %v: give at least requests.timeout, %v", s.Node.MaximumTimeout, s.Node.Timeout))
 	}
 }
 
-// nearest names the known setting whose name is most like key.
+// nearest names the known setting whose name is closest to key in edit distance.
 func nearest(key string) string {
 	best := slices.MinFunc(Fields(), func(a, b Field) int {
 		return cmp.Compare(distance(a.Key, key), distance(b.Key, key))
@@ -218,8 +221,8 @@
 	return fmt.Sprintf("the nearest known name is %s", best.Key)
 }
 
-// distance is the Levenshtein distance of two names. Longer names than any
-// setting's are cut, so that a hostile file costs little.
+// distance returns the Levenshtein distance of two names. It truncates b to 64 bytes,
+// which is longer than any setting's name, to bound the cost for a malicious file.
 func distance(a, b string) int {
 	b = b[:min(len(b), 64)]
 	row := make([]int, len(b)+1)
@@ -241,7 +244,7 @@
 	return row[len(b)]
 }
 
-// NodeOptions returns what the decisions need of the settings.
+// NodeOptions returns the options of the state machine.
 func (s Settings) NodeOptions(incarnation coltsfootward.Incarnation) node.Options {
 	options := s.Node
 	options.Routed = s.Hosted()
--- a/cmd/settings/settings_test.go
+++ b/cmd/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const whole = `[instance]
+const validFile = `[instance]
 id = "north-1"
 domain = "north"
 domains = ["north", "south"]
@@ -31,7 +31,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := settings.Parse("node.toml", []byte(whole+"\n[requests]\ntimeout = \"2s\"\nattempts = 3\n"))
+	s, err := settings.Parse("node.toml", []byte(validFile+"\n[requests]\ntimeout = \"2s\"\nattempts = 3\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// An operator writes a file with many mistakes and wants to read all of them
-// at once, each with its place, its range and a remedy.
+// All invalid values of a file must be reported at once, each with its key, the allowed
+// range and a remedy.
 func TestParseReportsEveryBadValue(t *testing.T) {
 	text := `[instance]
 id = "north 1"
@@ -82,9 +82,9 @@
 	}{
 		{"syntax", "[instance\n", "line 1, column 10"},
 		{"empty", "", "instance.id"},
-		{"section that is a value", strings.Replace(whole, "[platform]\nurl = \"http://10.0.0.9:7000\"", "", 1) + "platform = 3\n", "platform"},
-		{"maximum below default timeout", whole + "[requests]\nmaximum_timeout = \"1s\"\n", "requests.maximum_timeout"},
-		{"domain not listed", strings.Replace(whole, `domain = "north"`, `domain = "west"`, 1), "instance.domains"},
+		{"section that is a value", strings.Replace(validFile, "[platform]\nurl = \"http://10.0.0.9:7000\"", "", 1) + "platform = 3\n", "platform"},
+		{"maximum below default timeout", validFile + "[requests]\nmaximum_timeout = \"1s\"\n", "requests.maximum_timeout"},
+		{"domain not listed", strings.Replace(validFile, `domain = "north"`, `domain = "west"`, 1), "instance.domains"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,23 +97,24 @@
 	}
 }
 
-// A decision's option that no setting reaches can't be tuned by operators.
+// Guards against an option of the state machine that no setting sets, so that operators
+// could not change it.
 func TestEveryOptionHasASetting(t *testing.T) {
 	s := settings.Default()
-	reached := make(map[any]bool)
+	targets := make(map[any]bool)
 	for _, field := range settings.Fields() {
-		reached[field.Target(&s)] = true
+		targets[field.Target(&s)] = true
 	}
 	value := reflect.ValueOf(&s.Node).Elem()
 	for i := range value.NumField() {
 		name := value.Type().Field(i).Name
 		if name == "Self" || name == "Domains" || name == "Contacts" {
-			continue // from instance and listen, by NodeOptions
+			continue // set by NodeOptions from instance and listen
 		}
 		if name == "Routed" || name == "Service" {
-			continue // by NodeOptions too; TestHostedSettingsReachTheDecisions
+			continue // set by NodeOptions; see TestHostedSettingsInNodeOptions
 		}
-		if !reached[value.Field(i).Addr().Interface()] {
+		if !targets[value.Field(i).Addr().Interface()] {
 			t.Errorf("got no setting for node.Options.%s, want a line for it in cmd/settings/table.go", name)
 		}
 		if value.Field(i).IsZero() {
@@ -122,10 +123,10 @@
 	}
 }
 
-// What a deployment is and which service runs beside the node reach the
-// decisions by way of NodeOptions; an own deployment has neither.
-func TestHostedSettingsReachTheDecisions(t *testing.T) {
-	hosted := strings.Replace(whole, "[listen]\n", "[listen]\nready = \"10.0.0.1:7005\"\n", 1) +
+// NodeOptions must pass the kind of deployment and the service of the local backend
+// server to the state machine. Both are zero in an own deployment.
+func TestHostedSettingsInNodeOptions(t *testing.T) {
+	hosted := strings.Replace(validFile, "[listen]\n", "[listen]\nready = \"10.0.0.1:7005\"\n", 1) +
 		"[deployment]\nkind = \"hosted\"\n[backend]\naddress = \"10.0.0.1:80\"\nservice = \"quotes\"\n"
 	s, err := settings.Parse("node.toml", []byte(hosted))
 	if err != nil {
@@ -134,7 +135,7 @@
 	if o := s.NodeOptions(1); !o.Routed || o.Service != "quotes" {
 		t.Errorf("got Routed %v and Service %q, want true and quotes", o.Routed, o.Service)
 	}
-	s, err = settings.Parse("node.toml", []byte(whole))
+	s, err = settings.Parse("node.toml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,8 +144,8 @@
 	}
 }
 
-// docs/OPERATIONS.md lists every setting. After a change of the table put the
-// text that the test prints between the page's marks.
+// docs/OPERATIONS.md lists every setting. After a change of the table of fields, replace
+// the text between the page's marks with the text that this test prints.
 func TestOperationsPageListsEverySetting(t *testing.T) {
 	var want strings.Builder
 	want.WriteString("| Setting | Unit | Default | Range | Meaning |\n|---|---|---|---|---|\n")
@@ -163,7 +164,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validFile))
 	f.Add([]byte("[requests]\nattempts = 99999999999\n[log]\ntimeline = 1e9\n"))
 	f.Add([]byte("a = {b = {c = [1, {d = 2}]}}\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/cmd/settings/table.go
+++ b/cmd/settings/table.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Fields returns every setting in the order of the operators' page. A new
-// setting is added here and nowhere else.
+// Fields returns all settings, in the order in which docs/OPERATIONS.md lists them. A new
+// setting is added only here.
 func Fields() []Field {
 	return []Field{
 		choice("deployment.kind", "How callers, backend servers and the platform are met: by the product's own interfaces, or on the users' hosting platform.", []string{DeploymentOwn, DeploymentHosted},
@@ -38,16 +38,16 @@
 		duration("stop.notice", "How long callers go on coming after the node has said that it is not ready; hosted deployments only.", 0, time.Minute,
 			func(s *Settings) *time.Duration { return &s.Stop.Notice }),
 
-		webAddress("platform.url", "Where the platform's table and object store are.",
+		httpURL("platform.url", "Where the platform's table and object store are.",
 			func(s *Settings) *string { return &s.PlatformURL }),
 
-		whole("requests.attempts", "attempts", "Bounds the attempts of one request over the whole chain of calls.", 1, 1<<16,
+		integer("requests.attempts", "attempts", "Bounds the attempts of one request over the whole chain of calls.", 1, 1<<16,
 			func(s *Settings) *int { return &s.Node.Attempts }),
 		duration("requests.timeout", "Bounds a request that brings no timeout of its own.", time.Millisecond, time.Hour,
 			func(s *Settings) *time.Duration { return &s.Node.Timeout }),
 		duration("requests.maximum_timeout", "Caps the timeout that a caller may ask for; at least requests.timeout.", time.Millisecond, time.Hour,
 			func(s *Settings) *time.Duration { return &s.Node.MaximumTimeout }),
-		whole("requests.maximum_body", "bytes", "Bounds a request's body; larger ones are refused as too_large.", 1, 64<<20,
+		integer("requests.maximum_body", "bytes", "Bounds a request's body; larger ones are refused as too_large.", 1, 64<<20,
 			func(s *Settings) *int64 { return &s.MaximumBody }),
 
 		duration("configuration.poll_interval", "The time between two reads of the configuration from the platform.", 50*time.Millisecond, time.Minute,
@@ -55,7 +55,7 @@
 		duration("configuration.key_grace", "How long a node that hears neither of the platform nor of most failure domains goes on honouring keys; a key withdrawn meanwhile works behind the cut for as long.", time.Second, 24*time.Hour,
 			func(s *Settings) *time.Duration { return &s.Node.KeyGrace }),
 
-		whole("rate.slots", "slots", "The number of slots in each failure domain, the same on all instances; every slot's holder grants a part of each organisation's rate.", 1, 1024,
+		integer("rate.slots", "slots", "The number of slots in each failure domain, the same on all instances; every slot's holder grants a part of each organisation's rate.", 1, 1024,
 			func(s *Settings) *int { return &s.Node.Slots }),
 		duration("rate.configuration_spread", "How long a change of the configuration may take to reach every instance; a raised part of a rate waits for it.", time.Second, time.Minute,
 			func(s *Settings) *time.Duration { return &s.Node.ConfigurationSpread }),
@@ -72,14 +72,14 @@
 			func(s *Settings) *time.Duration { return &s.Node.ClaimWindow }),
 		duration("claims.clock_margin", "How far the wall clocks of callers and nodes may differ.", 100*time.Millisecond, time.Minute,
 			func(s *Settings) *time.Duration { return &s.Node.ClaimClockMargin }),
-		whole("claims.maximum", "keys", "Bounds the keys remembered for each slot that the node holds; further ones are refused as claim.", 100, 10_000_000,
+		integer("claims.maximum", "keys", "Bounds the keys remembered for each slot that the node holds; further ones are refused as claim.", 100, 10_000_000,
 			func(s *Settings) *int { return &s.Node.MaximumClaims }),
-		whole("claims.kept_answers", "bytes", "Bounds the memory for answers kept for repeats, for each slot that the node holds.", 1, 1<<30,
+		integer("claims.kept_answers", "bytes", "Bounds the memory for answers kept for repeats, for each slot that the node holds.", 1, 1<<30,
 			func(s *Settings) *int { return &s.Node.KeptAnswerBytes }),
 
 		choice("log.level", "The least level that is logged.", []string{"debug", "info", "warn", "error"},
 			func(s *Settings) *string { return &s.Log.Level }),
-		whole("log.timeline", "events", "How many events the node keeps for coltsfootctl timeline.", 16, 1<<20,
+		integer("log.timeline", "events", "How many events the node keeps for coltsfootctl timeline.", 16, 1<<20,
 			func(s *Settings) *int { return &s.Log.Timeline }),
 	}
 }
--- a/cmd/timeline/timeline.go
+++ b/cmd/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline merges the recent events of all nodes into one time line.
+// Package timeline collects the recent events of nodes and merges them into one timeline.
 package timeline
 
 import (
@@ -19,14 +19,14 @@
 )
 
 const (
-	// workers is how many nodes are asked at once.
+	// workers is how many nodes are queried concurrently.
 	workers = 16
-	// nodeTimeout bounds the wait for one node, so that a node that is down
-	// delays the time line but does not prevent it.
+	// nodeTimeout bounds the query of one node, so that a node that is down delays the
+	// timeline but does not prevent it.
 	nodeTimeout = 5 * time.Second
 )
 
-// NodeError says that a node gave no time line.
+// NodeError reports that a node's events could not be retrieved.
 type NodeError struct {
 	Node string
 	Err  error
@@ -34,15 +34,16 @@
 
 // Error implements error.
 func (e *NodeError) Error() string {
-	return fmt.Sprintf("timeline: nothing from %s: %v: check that it runs; its events are missing", e.Node, e.Err)
+	return fmt.Sprintf("timeline: no events from %s: %v: check that the node runs; its events are missing", e.Node, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *NodeError) Unwrap() error { return e.Err }
 
-// Collect asks the nodes at those operators' addresses for up to limit events
-// each and returns all of them in order; limit zero means all. The error joins
-// a *NodeError for each node that gave none; the other nodes' events come with it.
+// Collect queries the nodes at the given operators' addresses for their latest events
+// and returns the latest limit events of all nodes in order. A limit of zero means all.
+// The error joins a *NodeError for each node that could not be queried; the events of
+// the other nodes are returned with it.
 func Collect(ctx context.Context, nodes []string, limit int32) ([]*coltsfootwardv1.TimelineEvent, error) {
 	queue := make(chan string, len(nodes))
 	for _, node := range nodes {
@@ -58,7 +59,7 @@
 	for range min(workers, len(nodes)) {
 		wait.Go(func() {
 			for node := range queue {
-				events, err := ask(ctx, node, limit)
+				events, err := fetch(ctx, node, limit)
 				mu.Lock()
 				all = append(all, events...)
 				if err != nil {
@@ -72,7 +73,7 @@
 	return Merge(all, int(limit)), errors.Join(failed...)
 }
 
-func ask(ctx context.Context, node string, limit int32) ([]*coltsfootwardv1.TimelineEvent, error) {
+func fetch(ctx context.Context, node string, limit int32) ([]*coltsfootwardv1.TimelineEvent, error) {
 	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	client := coltsfootwardv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+node)
@@ -83,8 +84,8 @@
 	return response.Msg.Events, nil
 }
 
-// Merge orders events by hybrid logical clock, then by instance, and returns
-// the latest limit of them; zero or less means all. It sorts in place.
+// Merge sorts events in place by hybrid logical clock, then by instance, and returns the
+// latest limit events. A limit of zero or less means all.
 func Merge(events []*coltsfootwardv1.TimelineEvent, limit int) []*coltsfootwardv1.TimelineEvent {
 	slices.SortStableFunc(events, func(a, b *coltsfootwardv1.TimelineEvent) int {
 		return cmp.Or(
@@ -99,7 +100,7 @@
 	return events
 }
 
-// Heading names the columns of Rows.
+// Heading returns the column names of Rows.
 func Heading() []string { return []string{"TIME", "INSTANCE", "CODE", "EVENT", "DETAILS"} }
 
 // Rows returns a table row for each event.
