--- a/cmd/coltsfootctl/exit.go
+++ b/cmd/coltsfootctl/exit.go
@@ -7,18 +7,18 @@
 	"connectrpc.com/connect"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitDone       = 0
-	exitFailed     = 1
-	exitUsage      = 2
-	exitConflict   = 3
-	exitIncomplete = 3
-	exitNotInForce = 4
-	exitDoubt      = 5
+	exitDone           = 0
+	exitFailed         = 1
+	exitUsage          = 2
+	exitConflict       = 3
+	exitIncomplete     = 3
+	exitNotInForce     = 4
+	exitUnknownOutcome = 5
 )
 
-// notInForceError says that a change is stored but not yet in force everywhere.
+// notInForceError reports that a change is stored but not yet in force on all nodes.
 type notInForceError struct{ revision uint64 }
 
 // Error implements error.
@@ -26,25 +26,26 @@
 	return fmt.Sprintf("revision %d is stored, but not yet in force everywhere: follow it with coltsfootctl watch %d", e.revision, e.revision)
 }
 
-// usageError says that an argument is wrong.
+// usageError reports an invalid argument.
 type usageError struct{ problem string }
 
 // Error implements error.
 func (e *usageError) Error() string { return e.problem }
 
-// doubtError says that no answer came for a change.
-type doubtError struct {
+// unknownOutcomeError reports that a change got no response, so that it may or may not
+// have been stored.
+type unknownOutcomeError struct {
 	changeID string
 	err      error
 }
 
 // Error implements error.
-func (e *doubtError) Error() string {
+func (e *unknownOutcomeError) Error() string {
 	return fmt.Sprintf("no answer, the change may have been stored: run it again with --change-id %s: %v", e.changeID, e.err)
 }
 
 // Unwrap returns the cause.
-func (e *doubtError) Unwrap() error { return e.err }
+func (e *unknownOutcomeError) Unwrap() error { return e.err }
 
 func exitCode(err error) int {
 	var notInForce *notInForceError
@@ -62,13 +63,13 @@
 	case connect.CodeOf(err) == connect.CodeAborted:
 		return exitConflict
 	case unanswered(err):
-		return exitDoubt
+		return exitUnknownOutcome
 	default:
 		return exitFailed
 	}
 }
 
-// unanswered reports whether nobody said what became of a call.
+// unanswered reports whether the error leaves open whether the call was executed.
 func unanswered(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeDeadlineExceeded, connect.CodeCanceled:
--- a/cmd/coltsfootctl/explain.go
+++ b/cmd/coltsfootctl/explain.go
@@ -14,10 +14,11 @@
 	"coltsfootward/cmd/explain"
 )
 
-// errNotFound says that no log told of the request.
-var errNotFound = errors.New("no log tells of such a request: give the logs of all nodes that it may have passed, at its time")
+// errNotFound reports that the logs have no line of the request.
+var errNotFound = errors.New("no log mentions such a request: give the logs of all nodes that may have handled it, for the time of the request")
 
-// incompleteError says that an explanation rests on logs with gaps.
+// incompleteError reports that nodes dropped log lines that may concern the request, so
+// that the explanation may be incomplete.
 type incompleteError struct{ dropped []explain.Drop }
 
 // Error implements error.
@@ -26,17 +27,17 @@
 	for _, d := range e.dropped {
 		counts[d.Node] += d.Count
 	}
-	var places []string
+	var gaps []string
 	for _, node := range slices.Sorted(maps.Keys(counts)) {
-		places = append(places, fmt.Sprintf("%d at %s", counts[node], node))
+		gaps = append(gaps, fmt.Sprintf("%d at %s", counts[node], node))
 	}
-	return "explained in part: lines about requests were left out of the logs at that time: " + strings.Join(places, ", ")
+	return "explained in part: lines about requests were left out of the logs at that time: " + strings.Join(gaps, ", ")
 }
 
 // progressInterval is the time between two progress lines while logs are read.
 const progressInterval = 2 * time.Second
 
-// worstNodes is how many nodes a summary names.
+// worstNodes is the number of nodes with the most lines that a summary lists.
 const worstNodes = 8
 
 type explainCommand struct {
@@ -66,33 +67,34 @@
 		search = explain.NewSearch(arguments[0])
 		arguments = arguments[1:]
 	}
-	if err := c.read(arguments, search.Take); err != nil {
+	if err := c.read(arguments, search.Add); err != nil {
 		return err
 	}
-	found, ok := search.Result()
+	explanation, ok := search.Result()
 	if !ok {
 		return errNotFound
 	}
-	if err := c.print(found); err != nil {
+	if err := c.print(explanation); err != nil {
 		return err
 	}
-	if len(found.Dropped) > 0 {
-		return &incompleteError{found.Dropped}
+	if len(explanation.Dropped) > 0 {
+		return &incompleteError{explanation.Dropped}
 	}
 	return nil
 }
 
-// read reads the files, or standard input if there are none.
-func (c *explainCommand) read(files []string, take func(explain.Line)) error {
+// read reads the files, or standard input if there are none, and passes each line to
+// handle.
+func (c *explainCommand) read(files []string, handle func(explain.Line)) error {
 	if len(files) == 0 {
-		return explain.Read(c.progress(c.session.in), take)
+		return explain.Read(c.progress(c.session.in), handle)
 	}
 	for _, name := range files {
 		file, err := os.Open(name)
 		if err != nil {
 			return &usageError{fmt.Sprintf("cannot read a log: %v", err)}
 		}
-		err = explain.Read(c.progress(file), take)
+		err = explain.Read(c.progress(file), handle)
 		file.Close()
 		if err != nil {
 			return err
@@ -101,24 +103,24 @@
 	return nil
 }
 
-// progressReader tells on standard error how much has been read.
+// progressReader prints on standard error how much has been read.
 type progressReader struct {
-	source io.Reader
-	out    io.Writer
-	read   int64
-	told   time.Time
+	source     io.Reader
+	out        io.Writer
+	read       int64
+	lastReport time.Time
 }
 
 func (c *explainCommand) progress(source io.Reader) io.Reader {
-	return &progressReader{source: source, out: c.session.errout, told: time.Now()}
+	return &progressReader{source: source, out: c.session.errout, lastReport: time.Now()}
 }
 
 // Read implements io.Reader.
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	r.read += int64(n)
-	if time.Since(r.told) >= progressInterval {
-		r.told = time.Now()
+	if time.Since(r.lastReport) >= progressInterval {
+		r.lastReport = time.Now()
 		fmt.Fprintf(r.out, "coltsfootctl: %d MB of logs read\n", r.read>>20)
 	}
 	return n, err
@@ -126,13 +128,13 @@
 
 func (c *explainCommand) json() bool { return c.JSON || c.session.options.Output == "json" }
 
-func (c *explainCommand) print(found explain.Explanation) error {
+func (c *explainCommand) print(explanation explain.Explanation) error {
 	if c.json() {
-		return c.printJSON(found)
+		return c.printJSON(explanation)
 	}
 	out := c.session.out
-	fmt.Fprintf(out, "request %s\n\n", found.Request)
-	for _, line := range found.Lines {
+	fmt.Fprintf(out, "request %s\n\n", explanation.Request)
+	for _, line := range explanation.Lines {
 		fmt.Fprintf(out, "%s  %-24s %s\n", line.Time.Format("15:04:05.000000"), line.Node, line.Event)
 		for _, name := range slices.Sorted(maps.Keys(line.Fields)) {
 			if name != "request" && line.Fields[name] != "" {
@@ -140,7 +142,7 @@
 			}
 		}
 	}
-	_, err := fmt.Fprintf(out, "\n%s\n", found.Cause)
+	_, err := fmt.Fprintf(out, "\n%s\n", explanation.Cause)
 	return err
 }
 
@@ -152,7 +154,7 @@
 
 func (c *explainCommand) summarise(files []string) error {
 	summary := explain.NewSummary()
-	if err := c.read(files, summary.Take); err != nil {
+	if err := c.read(files, summary.Add); err != nil {
 		return err
 	}
 	if c.json() {
@@ -165,11 +167,12 @@
 	c.table(summary.Causes(), "")
 	fmt.Fprintln(c.session.out, "\nby second and failure domain")
 	c.table(summary.Rows(), "15:04:05")
-	_, err := fmt.Fprintf(c.session.out, "\nnodes with the most: %s\nlines left out of the logs: %d\n", strings.Join(summary.Worst(worstNodes), ", "), summary.Dropped)
+	_, err := fmt.Fprintf(c.session.out, "\nnodes with the most lines: %s\nlines left out of the logs: %d\n", strings.Join(summary.Worst(worstNodes), ", "), summary.Dropped)
 	return err
 }
 
-// table prints counts, with their seconds if layout is not empty.
+// table prints counts. If layout is not empty, each row starts with the second, in this
+// layout, and the failure domain.
 func (c *explainCommand) table(rows []explain.SummaryRow, layout string) {
 	for _, row := range rows {
 		second := ""
--- a/cmd/coltsfootctl/explain_test.go
+++ b/cmd/coltsfootctl/explain_test.go
@@ -15,7 +15,7 @@
 
 const droppedLine = `{"level":"info","ts":1700000001.9,"msg":"records_dropped","node":"north-1","code":106,"of":"202","count":"3"}` + "\n"
 
-// Scripts of operators branch on the exit codes.
+// Operators' scripts depend on the exit codes.
 func TestExplainExitCodes(t *testing.T) {
 	tests := []struct {
 		name, input string
@@ -25,7 +25,7 @@
 	}{
 		{"explained", refusedLine, []string{"explain", "r-1"}, 0, "north-1 refused it after 1ms as over_rate"},
 		{"first of a kind", refusedLine, []string{"explain", "--first", "over_rate"}, 0, "request r-1"},
-		{"not found", refusedLine, []string{"explain", "r-2"}, 1, "no log tells"},
+		{"not found", refusedLine, []string{"explain", "r-2"}, 1, "no log mentions"},
 		{"no request", refusedLine, []string{"explain"}, 2, "--first"},
 		{"both", refusedLine, []string{"explain", "--first", "timeout", "--summary"}, 2, "exclude"},
 		{"no such file", "", []string{"explain", "r-1", "no-such.log"}, 2, "no-such.log"},
--- a/cmd/coltsfootctl/key.go
+++ b/cmd/coltsfootctl/key.go
@@ -14,7 +14,7 @@
 	"connectrpc.com/connect"
 )
 
-// keyBytes is how many random bytes a key holds.
+// keyBytes is the number of random bytes in a generated key.
 const keyBytes = 24
 
 type keyIssue struct {
@@ -27,43 +27,43 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. The key goes to standard output alone, so
-// that it can be piped to where it is kept; all else goes to standard error.
+// Execute implements flags.Commander. It prints only the key to standard output, so that
+// the key can be piped to its store. All other output goes to standard error.
 func (c *keyIssue) Execute([]string) error {
 	key, err := c.key()
 	if err != nil {
 		return err
 	}
-	quiet := *c.session
-	quiet.out = c.session.errout
-	err = quiet.change(changeOptions{ChangeID: c.ChangeID}, func(change *coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
-		return quiet.client().IssueKey(quiet.ctx, connect.NewRequest(&coltsfootwardv1.IssueKeyRequest{
+	stderrSession := *c.session
+	stderrSession.out = c.session.errout
+	err = stderrSession.change(changeOptions{ChangeID: c.ChangeID}, func(change *coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
+		return stderrSession.client().IssueKey(stderrSession.ctx, connect.NewRequest(&coltsfootwardv1.IssueKeyRequest{
 			Context: change, Id: c.Args.ID, Organisation: c.Organisation, Digest: string(coltsfootward.DigestKey(key)),
 		}))
 	})
 	if c.mayBeStored(err) {
 		fmt.Fprintln(c.session.out, key)
 	}
-	var doubt *doubtError
-	if errors.As(err, &doubt) {
+	var unknownOutcome *unknownOutcomeError
+	if errors.As(err, &unknownOutcome) {
 		return fmt.Errorf("%w; give the printed key with --from-stdin", err)
 	}
 	return err
 }
 
-// mayBeStored reports whether the key may work, so that losing it would leave
-// a key at work that nobody knows.
+// mayBeStored reports whether the key may have been stored. It must be printed then:
+// otherwise a valid key could exist that is not known to anyone.
 func (*keyIssue) mayBeStored(err error) bool {
 	var notInForce *notInForceError
-	var doubt *doubtError
-	return err == nil || errors.As(err, &notInForce) || errors.As(err, &doubt)
+	var unknownOutcome *unknownOutcomeError
+	return err == nil || errors.As(err, &notInForce) || errors.As(err, &unknownOutcome)
 }
 
 func (c *keyIssue) key() (string, error) {
 	if !c.FromInput {
 		random := make([]byte, keyBytes)
 		if _, err := rand.Read(random); err != nil {
-			return "", fmt.Errorf("make a key: %w", err)
+			return "", fmt.Errorf("generate key: %w", err)
 		}
 		return base64.RawURLEncoding.EncodeToString(random), nil
 	}
--- a/cmd/coltsfootctl/main.go
+++ b/cmd/coltsfootctl/main.go
@@ -1,5 +1,5 @@
-// Command coltsfootctl is the operators' client. It speaks to any node; the
-// exit codes are in docs/OPERATIONS.md and in its help.
+// Command coltsfootctl is the operators' command-line client. It can connect to any node.
+// The exit codes are documented in docs/OPERATIONS.md and in the help text.
 package main
 
 import (
--- a/cmd/coltsfootctl/output.go
+++ b/cmd/coltsfootctl/output.go
@@ -12,10 +12,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// print writes an answer as JSON, or as a table of rows below a heading.
-func (s *session) print(answer proto.Message, heading []string, rows [][]string) error {
+// print writes a response as JSON, or as a table of rows with a heading.
+func (s *session) print(response proto.Message, heading []string, rows [][]string) error {
 	if s.options.Output == "json" {
-		return s.printJSON(answer)
+		return s.printJSON(response)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(heading, "\t"))
@@ -25,16 +25,16 @@
 	return w.Flush()
 }
 
-// printJSON writes an answer under the names of the schema. Its spacing is made
-// regular, since protojson varies it on purpose.
-func (s *session) printJSON(answer proto.Message) error {
-	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(answer)
+// printJSON writes a response as JSON with the field names of the schema. It re-encodes
+// the output of protojson, which randomises white space on purpose.
+func (s *session) printJSON(response proto.Message) error {
+	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(response)
 	if err != nil {
-		return fmt.Errorf("coltsfootctl: encode answer: %w", err)
+		return fmt.Errorf("coltsfootctl: encode response: %w", err)
 	}
 	var tree any
 	if err := json.Unmarshal(data, &tree); err != nil {
-		return fmt.Errorf("coltsfootctl: encode answer: %w", err)
+		return fmt.Errorf("coltsfootctl: encode response: %w", err)
 	}
 	encoder := json.NewEncoder(s.out)
 	encoder.SetIndent("", "  ")
@@ -61,12 +61,12 @@
 func domainRows(domains []*coltsfootwardv1.DomainRevision) [][]string {
 	var rows [][]string
 	for _, d := range domains {
-		rows = append(rows, []string{d.Domain, fmt.Sprint(d.Revision), yes(d.Confirmed), strings.Join(d.WaitingFor, ",")})
+		rows = append(rows, []string{d.Domain, fmt.Sprint(d.Revision), yesNo(d.Confirmed), strings.Join(d.WaitingFor, ",")})
 	}
 	return rows
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/cmd/coltsfootctl/run.go
+++ b/cmd/coltsfootctl/run.go
@@ -19,7 +19,7 @@
 
 Example: coltsfootctl --node 10.0.0.1:7004 organisation set traders --rate 50 --burst 100`
 
-// run runs one command line and returns its exit code.
+// run executes one command line and returns its exit code.
 func run(args []string, in io.Reader, out, errout io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -31,9 +31,9 @@
 		return exitFailed
 	}
 	_, err := parser.ParseArgs(args)
-	var flagged *flags.Error
-	if errors.As(err, &flagged) {
-		if flagged.Type == flags.ErrHelp {
+	var flagsError *flags.Error
+	if errors.As(err, &flagsError) {
+		if flagsError.Type == flags.ErrHelp {
 			fmt.Fprintln(out, err)
 			return exitDone
 		}
@@ -46,7 +46,7 @@
 	return exitCode(err)
 }
 
-// command is one line of the command table.
+// command is one row of the command table.
 type command struct {
 	parent, name, short, long string
 	run                       any
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// group is a command that only holds others.
+// group is a command that only has subcommands.
 type group struct{}
 
 func commands(s *session) []command {
@@ -91,10 +91,10 @@
 		{"service", "list", "list services and their marks", "Example: coltsfootctl service list", &serviceList{session: s}},
 
 		{"", "status", "show what a node knows of itself and of the deployment", "Example: coltsfootctl --node 10.0.0.1:7004 status", &status{session: s}},
-		{"", "watch", "wait until a revision is in force everywhere", "Says which failure domains and instances it waits for.\n\nExample: coltsfootctl watch 42 --wait 30s", &watch{session: s}},
-		{"", "drain", "make a node leave gracefully", "The node takes no new work, finishes what runs and exits.\n\nExample: coltsfootctl --node 10.0.0.1:7004 drain", &drain{session: s}},
-		{"", "explain", "tell from logs what became of a request",
-			"Reads the logs of nodes, from files or standard input, and tells the one path of a request and what ended it. Logs may have a time and an instance before each line. Exit codes: 0 explained; 1 not found; 2 wrong usage; 3 explained in part, since lines were left out of the logs.\n\nExamples: coltsfootctl explain 9c41d07be2a35f68 node-*.log\n          coltsfootctl explain --first over_rate < all.log\n          coltsfootctl explain --summary node-*.log", &explainCommand{session: s}},
-		{"", "timeline", "show the recent events of all nodes as one time line", "Asks the node and the peers that it knows, and merges their events by hybrid logical clock.\n\nExample: coltsfootctl timeline --limit 200", &timeline{session: s}},
+		{"", "watch", "wait until a revision is in force everywhere", "Shows which failure domains and instances the revision still waits for.\n\nExample: coltsfootctl watch 42 --wait 30s", &watch{session: s}},
+		{"", "drain", "make a node leave gracefully", "The node accepts no new work, finishes the running requests and exits.\n\nExample: coltsfootctl --node 10.0.0.1:7004 drain", &drain{session: s}},
+		{"", "explain", "explain from logs what happened to a request",
+			"Reads the logs of nodes, from files or standard input, and shows the path of one request and what ended it. Each log line may be prefixed by a time and an instance. Exit codes: 0 explained; 1 not found; 2 wrong usage; 3 explained in part, since nodes dropped lines from the logs.\n\nExamples: coltsfootctl explain 9c41d07be2a35f68 node-*.log\n          coltsfootctl explain --first over_rate < all.log\n          coltsfootctl explain --summary node-*.log", &explainCommand{session: s}},
+		{"", "timeline", "show the recent events of all nodes as one timeline", "Asks the node and the peers that it knows, and merges their events by hybrid logical clock.\n\nExample: coltsfootctl timeline --limit 200", &timeline{session: s}},
 	}
 }
--- a/cmd/coltsfootctl/service.go
+++ b/cmd/coltsfootctl/service.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// anyMethod stands for every method in a mark.
+// anyMethod matches every method in a mark.
 const anyMethod = "ANY"
 
 func parseMark(text string) (*coltsfootwardv1.Mark, error) {
@@ -90,8 +90,8 @@
 	return c.session.print(response.Msg, []string{"NAME", "ATTEMPTS", "TIMEOUT", "REVISION", "MARK"}, rows)
 }
 
-// serviceRows gives the first mark in the service's own row and each further
-// one in a row below.
+// serviceRows returns the table rows of a service: the first row holds the service with
+// its first mark, and each further row holds one more mark.
 func serviceRows(s *coltsfootwardv1.Service) [][]string {
 	attempts, timeout := "default", "default"
 	if s.Attempts > 0 {
--- a/cmd/coltsfootctl/session.go
+++ b/cmd/coltsfootctl/session.go
@@ -13,14 +13,14 @@
 	"github.com/google/uuid"
 )
 
-// options are the options of every command.
+// options are the options that all commands have.
 type options struct {
 	Node   string        `long:"node" env:"COLTSFOOTWARD_NODE" default:"127.0.0.1:7004" description:"operators' address of any node"`
 	Wait   time.Duration `long:"wait" default:"13s" description:"how long to wait until a change is in force; 0s to only store it"`
 	Output string        `long:"output" default:"table" choice:"table" choice:"json" description:"how to print"`
 }
 
-// session is what one command line has in common.
+// session holds the context, options and streams that all commands use.
 type session struct {
 	ctx         context.Context
 	options     options
@@ -28,20 +28,19 @@
 	out, errout io.Writer
 }
 
-// answerTime is how long a node may take to answer beyond the time that it was
-// asked to wait.
-const answerTime = 15 * time.Second
+// responseMargin is added to the requested wait to get the timeout of a call to a node.
+const responseMargin = 15 * time.Second
 
 func (s *session) client() coltsfootwardv1connect.OperatorServiceClient {
 	return s.clientOf(s.options.Node)
 }
 
 func (s *session) clientOf(node string) coltsfootwardv1connect.OperatorServiceClient {
-	client := &http.Client{Timeout: s.options.Wait + answerTime}
+	client := &http.Client{Timeout: s.options.Wait + responseMargin}
 	return coltsfootwardv1connect.NewOperatorServiceClient(client, "http://"+node)
 }
 
-// changeOptions are the options of the commands that change something.
+// changeOptions are the options of the commands that change the configuration.
 type changeOptions struct {
 	BasedOn  uint64 `long:"based-on" description:"revision of the object that you saw; without it the object must not exist"`
 	Force    bool   `long:"force" description:"overwrite the object whatever its revision"`
@@ -49,14 +48,14 @@
 }
 
 const (
-	// changeTries bounds how often an unanswered change is sent.
-	changeTries = 3
-	// changePause is the time between two tries.
-	changePause = 500 * time.Millisecond
+	// changeAttempts bounds how often a change is sent while it gets no response.
+	changeAttempts = 3
+	// changeRetryDelay is the time between two attempts.
+	changeRetryDelay = 500 * time.Millisecond
 )
 
-// change sends a change until it is answered, always under one change id, and
-// prints the outcome.
+// change sends a change and prints the outcome. If no response arrives, it retries with
+// the same change id, so that the change is applied at most once.
 func (s *session) change(o changeOptions, send func(*coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error)) error {
 	c := &coltsfootwardv1.ChangeContext{
 		ChangeId: o.ChangeID, BasedOn: o.BasedOn, Force: o.Force, WaitMilliseconds: s.options.Wait.Milliseconds(),
@@ -64,10 +63,10 @@
 	if c.ChangeId == "" {
 		c.ChangeId = uuid.NewString()
 	}
-	response, err := s.untilAnswered(c, send)
+	response, err := s.sendUntilAnswered(c, send)
 	if err != nil {
 		if unanswered(err) {
-			return &doubtError{changeID: c.ChangeId, err: err}
+			return &unknownOutcomeError{changeID: c.ChangeId, err: err}
 		}
 		return err
 	}
@@ -80,12 +79,12 @@
 	return nil
 }
 
-func (s *session) untilAnswered(c *coltsfootwardv1.ChangeContext, send func(*coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error)) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
+func (s *session) sendUntilAnswered(c *coltsfootwardv1.ChangeContext, send func(*coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error)) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	var last error
-	for try := range changeTries {
-		if try > 0 {
+	for attempt := range changeAttempts {
+		if attempt > 0 {
 			select {
-			case <-time.After(changePause):
+			case <-time.After(changeRetryDelay):
 			case <-s.ctx.Done():
 				return nil, last
 			}
--- a/cmd/coltsfootctl/status.go
+++ b/cmd/coltsfootctl/status.go
@@ -19,13 +19,13 @@
 	m := response.Msg
 	if c.session.options.Output == "table" {
 		fmt.Fprintf(c.session.out, "instance %s in %s, revision %d, %d peers\n", m.Instance, m.Domain, m.Revision, m.Peers)
-		fmt.Fprintf(c.session.out, "draining: %s, platform available: %s\n\n", yes(m.Draining), yes(m.PlatformAvailable))
+		fmt.Fprintf(c.session.out, "draining: %s, platform available: %s\n\n", yesNo(m.Draining), yesNo(m.PlatformAvailable))
 	}
 	var rows [][]string
 	for _, u := range m.Upstreams {
 		rows = append(rows, []string{
 			u.Instance, u.Domain, u.Service, fmt.Sprint(u.Slots), fmt.Sprint(u.Running),
-			fmt.Sprint(u.Queued), fmt.Sprint(u.Limit), yes(u.Draining),
+			fmt.Sprint(u.Queued), fmt.Sprint(u.Limit), yesNo(u.Draining),
 		})
 	}
 	return c.session.print(m, []string{"INSTANCE", "DOMAIN", "SERVICE", "SLOTS", "RUNNING", "QUEUED", "LIMIT", "DRAINING"}, rows)
@@ -42,7 +42,7 @@
 	if c.session.options.Output == "json" {
 		return c.session.printJSON(response.Msg)
 	}
-	fmt.Fprintln(c.session.out, "draining; the node exits once it has finished what runs")
+	fmt.Fprintln(c.session.out, "draining; the node exits once it has finished the running requests")
 	return nil
 }
 
--- a/cmd/coltsfootctl/timeline.go
+++ b/cmd/coltsfootctl/timeline.go
@@ -15,14 +15,14 @@
 	Nodes   int   `long:"nodes" default:"64" description:"nodes to ask at most, the named one first; 0 for all"`
 }
 
-// Execute implements flags.Commander. Nodes that cannot be reached are named on
-// standard error, so that a gap does not pass for silence.
+// Execute implements flags.Commander. It names nodes that cannot be reached on standard
+// error, so that their missing events are not mistaken for inactivity.
 func (c *timeline) Execute([]string) error {
-	found, err := c.session.client().Status(c.session.ctx, connect.NewRequest(&coltsfootwardv1.StatusRequest{}))
+	response, err := c.session.client().Status(c.session.ctx, connect.NewRequest(&coltsfootwardv1.StatusRequest{}))
 	if err != nil {
 		return err
 	}
-	nodes := append([]string{c.session.options.Node}, found.Msg.PeerOperators...)
+	nodes := append([]string{c.session.options.Node}, response.Msg.PeerOperators...)
 	if c.Nodes > 0 && len(nodes) > c.Nodes {
 		fmt.Fprintf(c.session.errout, "coltsfootctl: asking %d of %d nodes: raise --nodes for more\n", c.Nodes, len(nodes))
 		nodes = nodes[:c.Nodes]
--- a/cmd/coltsfootward/main.go
+++ b/cmd/coltsfootward/main.go
@@ -1,4 +1,4 @@
-// Command coltsfootward is the node that runs beside each backend server.
+// Command coltsfootward runs a node, which is deployed beside each backend server.
 package main
 
 import (
@@ -29,8 +29,8 @@
 	lines := logging.NewWriter(os.Stdout)
 	defer lines.Close()
 	d := daemon.New(s, logging.New(lines))
-	reloads := watchSettings(c.Args.Settings, d)
-	defer reloads.close()
+	watcher := watchSettings(c.Args.Settings, d)
+	defer watcher.close()
 	if err := d.Start(context.Background()); err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	os.Exit(run(os.Args[1:]))
 }
 
-// The exit codes.
+// Exit codes.
 const (
 	exitDone   = 0
 	exitFailed = 1
@@ -78,14 +78,14 @@
 		return exitFailed
 	}
 	_, err := parser.ParseArgs(args)
-	var flagged *flags.Error
+	var flagsError *flags.Error
 	switch {
 	case err == nil:
 		return exitDone
-	case errors.As(err, &flagged) && flagged.Type == flags.ErrHelp:
+	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
 		fmt.Println(err)
 		return exitDone
-	case errors.As(err, &flagged):
+	case errors.As(err, &flagsError):
 		fmt.Fprintf(os.Stderr, "coltsfootward: %v: see coltsfootward --help\n", err)
 		return exitUsage
 	default:
@@ -96,7 +96,7 @@
 
 func register(parser *flags.Parser) error {
 	if _, err := parser.AddCommand("run", "run a node",
-		"Runs a node until SIGTERM, SIGINT or an operator's drain, then stops gracefully: it finishes what runs and cuts off no request.\n\nExample: coltsfootward run node.toml", &runCommand{}); err != nil {
+		"Runs a node until SIGTERM, SIGINT or an operator's drain, then stops gracefully: it finishes the running requests and aborts none.\n\nExample: coltsfootward run node.toml", &runCommand{}); err != nil {
 		return err
 	}
 	_, err := parser.AddCommand("check", "check a settings file",
--- a/cmd/coltsfootward/memory.go
+++ b/cmd/coltsfootward/memory.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// collectAt lets the heap grow to one and a half times what is live before a
-	// collection. A node's live heap is a few megabytes: against five times, the
-	// peak of a busy node falls from 44 to 15 MB, and its processor time stays
-	// within 2 in 100 (0.0445 cores after 0.0438).
-	collectAt = 50
-	// memoryLimit makes the collector work harder as the node nears the 256 MB
-	// that it may use.
-	memoryLimit = 200 << 20
+	// gcPercent is the growth of the heap over the live heap, in percent, that starts a
+	// garbage collection. A node's live heap is a few megabytes. Compared with growth to
+	// five times the live heap, growth to one and a half times lowers the peak memory of
+	// a busy node from 44 to 15 MB and raises its processor time by less than 2 in 100
+	// (0.0445 instead of 0.0438 cores).
+	gcPercent = 50
+	// memoryLimitBytes is the Go runtime's soft memory limit. It is below the 256 MB that
+	// a node may use, so that the collector runs more often as the node gets near them.
+	memoryLimitBytes = 200 << 20
 )
 
-// tuneMemory trades memory for processor time within the node's budget, unless
-// the operator has set the runtime's own variables.
+// tuneMemory configures the garbage collector for the node's memory budget, unless the
+// operator has set GOGC or GOMEMLIMIT.
 func tuneMemory() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectAt)
+		debug.SetGCPercent(gcPercent)
 	}
 	if debug.SetMemoryLimit(-1) == math.MaxInt64 {
-		debug.SetMemoryLimit(memoryLimit)
+		debug.SetMemoryLimit(memoryLimitBytes)
 	}
 }
--- a/cmd/coltsfootward/reload.go
+++ b/cmd/coltsfootward/reload.go
@@ -12,12 +12,12 @@
 	"coltsfootward/cmd/settings"
 )
 
-// reloadInterval is the time between two looks at the settings file, which may
-// change without a signal.
+// reloadInterval is the time between two checks of the settings file for changes, since
+// the file may change without a signal.
 const reloadInterval = 5 * time.Second
 
-// settingsWatch reads the settings file anew on SIGHUP and when it has changed.
-type settingsWatch struct {
+// settingsWatcher reloads the settings file on SIGHUP and when its content has changed.
+type settingsWatcher struct {
 	file   string
 	daemon *daemon.Daemon
 	hangup chan os.Signal
@@ -26,41 +26,42 @@
 	last   []byte
 }
 
-// watchSettings begins to watch. It takes SIGHUP from the first moment: left to
-// itself, the signal ends the process and cuts off all that it serves.
-func watchSettings(file string, d *daemon.Daemon) *settingsWatch {
-	w := &settingsWatch{file: file, daemon: d, hangup: make(chan os.Signal, 1), done: make(chan struct{})}
+// watchSettings starts watching. It handles SIGHUP before the node starts, because by
+// default the signal terminates the process and aborts all requests.
+func watchSettings(file string, d *daemon.Daemon) *settingsWatcher {
+	w := &settingsWatcher{file: file, daemon: d, hangup: make(chan os.Signal, 1), done: make(chan struct{})}
 	signal.Notify(w.hangup, syscall.SIGHUP)
-	w.last, _ = os.ReadFile(file) // it was read a moment ago; a failure shows at the next look
+	w.last, _ = os.ReadFile(file) // the file was read just before; the next check reports an error
 	w.wait.Go(w.run)
 	return w
 }
 
-func (w *settingsWatch) close() {
+func (w *settingsWatcher) close() {
 	signal.Stop(w.hangup)
 	close(w.done)
 	w.wait.Wait()
 }
 
-func (w *settingsWatch) run() {
+func (w *settingsWatcher) run() {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-w.hangup:
-			w.look(true)
+			w.check(true)
 		case <-ticker.C:
-			w.look(false)
+			w.check(false)
 		case <-w.done:
 			return
 		}
 	}
 }
 
-// look reads the file; asked says that somebody wants to hear how that went.
-func (w *settingsWatch) look(asked bool) {
+// check reloads the file if its content has changed. If forced is set, it also reloads
+// an unchanged file, so that every SIGHUP is followed by a log record of the outcome.
+func (w *settingsWatcher) check(forced bool) {
 	data, err := os.ReadFile(w.file)
-	if err == nil && !asked && bytes.Equal(data, w.last) {
+	if err == nil && !forced && bytes.Equal(data, w.last) {
 		return
 	}
 	if err != nil {
