--- a/core/node/entry_attempt.go
+++ b/core/node/entry_attempt.go
@@ -9,19 +9,19 @@
 	"coltsfootward/core/record"
 )
 
-// attempt asks for what the next attempt needs. Child calls were paid for by
-// the caller's request at the top of the chain.
-func (p *entryPart) attempt(call *entryCall) {
-	if call.parent != "" || call.unmetered || call.metered {
+// startAttempt obtains an admission for the next attempt. Child calls need
+// none: the caller's request at the top of the chain was charged for them.
+func (p *entryPart) startAttempt(call *entryCall) {
+	if call.parent != "" || call.rateExempt || call.charged {
 		p.admitted(call, admission{})
 		return
 	}
-	p.node.rate.acquire(entryWaiter{part: p, call: call})
+	p.node.rate.acquire(entryWaiter{component: p, call: call})
 }
 
-// admitted starts an attempt that the organisation's rate allows.
+// admitted sends an attempt that the organisation's rate allows.
 func (p *entryPart) admitted(call *entryCall, granted admission) {
-	if !call.metered {
+	if !call.charged {
 		call.admission = granted
 	}
 	now := p.node.now.Expiry
@@ -34,63 +34,64 @@
 			WithRetryAfter(p.node.spreadRetryAfter()))
 		return
 	}
-	target, ok := p.target(call)
+	target, ok := p.chooseTarget(call)
 	if !ok {
-		p.giveUp(call, p.noTarget(call), p.targetEvidence(call)...)
+		p.giveUp(call, p.noTargetRefusal(call), p.targetEvidence(call)...)
 		return
 	}
 	call.target = target.ID
-	call.running = true
+	call.inFlight = true
 	call.hops++
-	call.metered = call.ownAttempts
-	if call.ownAttempts && call.hops == 1 {
-		p.node.placement.requested(call)
+	call.charged = call.routed
+	if call.routed && call.hops == 1 {
+		p.node.placement.countRequest(call)
 	}
-	p.node.placement.sent(call)
+	p.node.placement.attemptSent(call)
 	head := call.head
-	call.carried = p.node.ledger.carry(call)
-	head.Budget = call.carried
+	call.allocation = p.node.ledger.nextAllocation(call)
+	head.Budget = call.allocation
 	head.Timeout = call.deadline - now
-	// A routed request is charged when it is admitted, and may queue for longer
-	// than its token lives: the deployment's bound on the rate leaves room for
-	// what is spent late.
-	if !call.ownAttempts {
+	// A routed request is charged when it is admitted, and may be queued for
+	// longer than its token's lifetime. The deployment's bound on the rate
+	// leaves room for tokens that are spent late.
+	if !call.routed {
 		head.StartWithin = granted.remaining(p.node.now)
 		head.Renewable = call.claim == nil && granted.expires != 0
 	}
 	if call.claim != nil {
-		head.StartWithin = shorter(head.StartWithin, call.claim.expires-now)
+		head.StartWithin = shorterLimit(head.StartWithin, call.claim.expires-now)
 	}
 	p.node.act(Forward{Call: call.id, To: target, Head: head})
 }
 
-// noTarget returns why there is nowhere to send the call. If servers that were
-// tried have refused it, that is the reason: "no backend server takes work"
-// would send operators looking for servers that run.
-func (p *entryPart) noTarget(call *entryCall) coltsfootward.Refusal {
-	if call.last.Kind != "" {
-		return call.last
+// noTargetRefusal returns why no backend server can be chosen for the call. If
+// servers that were tried have refused it, their refusal is returned: "no
+// backend server takes work" would send operators looking for servers that are
+// in fact running.
+func (p *entryPart) noTargetRefusal(call *entryCall) coltsfootward.Refusal {
+	if call.lastRefusal.Kind != "" {
+		return call.lastRefusal
 	}
 	return coltsfootward.NewRefusal(coltsfootward.RefusalNoUpstream, "no backend server of the service takes work").
 		WithRetryAfter(p.node.spreadRetryAfter())
 }
 
-// overRate ends a call that the organisation's rate does not allow.
-func (p *entryPart) overRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
+// refuseOverRate ends a call that exceeds the organisation's rate.
+func (p *entryPart) refuseOverRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
 	p.giveUp(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate, "the organisation is above its rate and burst").
 		WithRetryAfter(retryAfter), evidence...)
 }
 
 func (p *entryPart) attemptEnded(e AttemptEnded) {
 	call, ok := p.calls[e.Call]
-	if !ok || !call.running {
+	if !ok || !call.inFlight {
 		return
 	}
-	call.running = false
-	p.node.placement.observe(call, e)
+	call.inFlight = false
+	p.node.placement.attemptEnded(call, e)
 	if e.Kind == AttemptAnswered {
 		call.answered = true
-		p.callEnded(call, e.Status >= http.StatusInternalServerError)
+		p.recordChildEnd(call, e.Status >= http.StatusInternalServerError)
 		return
 	}
 	call.attempts += attemptsUsed(call, e)
@@ -98,32 +99,33 @@
 	p.settleAdmission(call, e)
 	unseen := e.Kind == AttemptUnsent || e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && e.Attempts == 0
 	refused := refusalOf(e)
-	call.doubtful = call.doubtful || refused.Execution != coltsfootward.ExecutionNotRun
+	call.mayHaveRun = call.mayHaveRun || refused.Execution != coltsfootward.ExecutionNotRun
 	p.node.report(record.AttemptFailed, field("request", string(call.head.Request)),
 		field("instance", string(call.target)), field("kind", string(refused.Kind)),
 		field("execution", string(refused.Execution)), field("detail", refused.Detail),
 		field("service", string(call.head.Service)), field("route", string(call.head.Route)),
-		field("hop", number(call.hops)), field("took", short(p.node.now.Monotonic-call.sent)))
-	call.last = refused
+		field("hop", number(call.hops)), field("took", rounded(p.node.now.Monotonic-call.sentAt)))
+	call.lastRefusal = refused
 	call.tried[call.target] = true
 	if !unseen {
 		call.head.Repeat = true
 		call.sends++
-		call.noteSeen(call.target)
+		call.recordSeen(call.target)
 	}
 	p.node.ledger.topUp(call)
 	if p.mayRetry(call, refused, unseen) {
-		p.attempt(call)
+		p.startAttempt(call)
 		return
 	}
 	p.finish(call, refused)
 }
 
-// mayRepeat decides for a routed request. Its attempts bound the backend servers
-// that see it; one of them that has rejected it may be asked again, since a server
-// that rejects at random serves the next try as likely as not.
-func (p *entryPart) mayRepeat(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
-	if refused.Final || p.node.now.Expiry >= call.deadline || !repeatable(call, refused) {
+// mayRetryRouted decides whether a routed request is attempted again. Its
+// budget bounds the number of backend servers that see it, but a server that
+// has rejected it may be tried again: a server that rejects requests at random
+// is as likely as not to serve the next attempt.
+func (p *entryPart) mayRetryRouted(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
+	if refused.Final || p.node.now.Expiry >= call.deadline || !safeToRetry(call, refused) {
 		return false
 	}
 	if unseen {
@@ -133,37 +135,37 @@
 	if call.sends >= maximumSends || !rejected && len(call.seenBy) >= call.budget {
 		return false
 	}
-	return p.node.placement.mayRepeat(call)
+	return p.node.placement.takeRoutedRetry(call)
 }
 
-// target returns where the next attempt goes.
-func (p *entryPart) target(call *entryCall) (coltsfootward.Instance, bool) {
-	if !call.ownAttempts {
+// chooseTarget returns the destination of the next attempt.
+func (p *entryPart) chooseTarget(call *entryCall) (coltsfootward.Instance, bool) {
+	if !call.routed {
 		return p.node.placement.choose(call)
 	}
 	if len(call.seenBy) >= call.budget {
-		return p.node.placement.again(call)
+		return p.node.placement.seenServer(call)
 	}
 	target, ok := p.node.placement.choose(call)
-	if !ok && len(call.seenBy) > 0 && call.last.Execution == coltsfootward.ExecutionNotRun {
-		// A service of one server has no other to ask.
-		return p.node.placement.again(call)
+	if !ok && len(call.seenBy) > 0 && call.lastRefusal.Execution == coltsfootward.ExecutionNotRun {
+		// The service has only one server, so the same one is tried again.
+		return p.node.placement.seenServer(call)
 	}
 	return target, ok
 }
 
-// noteSeen notes that a backend server has seen the call.
-func (c *entryCall) noteSeen(id coltsfootward.InstanceID) {
+// recordSeen records that a backend server has seen the call.
+func (c *entryCall) recordSeen(id coltsfootward.InstanceID) {
 	if !slices.Contains(c.seenBy, id) {
 		c.seenBy = append(c.seenBy, id)
 	}
 }
 
-// settleAdmission gives back what an attempt did not spend. An attempt that
-// may have started has spent its admission, whatever became of it.
+// settleAdmission returns the admission of an attempt that did not spend it. An
+// attempt that may have started has spent its admission, whatever its outcome.
 func (p *entryPart) settleAdmission(call *entryCall, e AttemptEnded) {
-	if call.ownAttempts {
-		return // charged once; finish gives back what never ran
+	if call.routed {
+		return // charged once; finish releases the admission if nothing ran
 	}
 	spent := e.Kind == AttemptLost || (e.Kind == AttemptRefused && e.Refusal.Execution != coltsfootward.ExecutionNotRun)
 	if !spent {
@@ -172,19 +174,20 @@
 	call.admission = admission{}
 }
 
-// attemptsUsed returns what an ended attempt cost. In doubt all that it carried
-// counts as used: the chain below may still be spending it. A refusal whose end
-// was lost is such a doubt, unless nothing ran.
+// attemptsUsed returns the number of attempts that an ended attempt has used.
+// If that is unknown, its whole allocation counts as used, because the chain
+// below may still be spending it. That includes a refusal whose attempt count
+// was lost, unless nothing ran.
 func attemptsUsed(call *entryCall, e AttemptEnded) int {
 	switch {
 	case e.Kind == AttemptUnsent:
 		return 0
-	case e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && !call.ownAttempts:
+	case e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && !call.routed:
 		return 0
 	case e.Kind == AttemptRefused && e.Attempts >= 0:
-		return min(e.Attempts, call.carried)
+		return min(e.Attempts, call.allocation)
 	default:
-		return call.carried
+		return call.allocation
 	}
 }
 
@@ -201,32 +204,35 @@
 }
 
 // mayRetry decides whether another attempt follows. A request whose execution
-// is unknown is attempted again only if it is repeatable. An attempt that no
-// backend server saw costs none of them anything, so another one draws on no
-// allowance, but there are only few, as each is a hop under load.
+// is unknown is retried only if it is repeatable. A retry after an attempt that
+// no backend server saw does not draw on the retry budget of a routed request,
+// as it costs the servers nothing; their number is still limited, because each
+// one is a hop under load.
 func (p *entryPart) mayRetry(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
-	if call.ownAttempts {
-		return p.mayRepeat(call, refused, unseen)
+	if call.routed {
+		return p.mayRetryRouted(call, refused, unseen)
 	}
-	if refused.Final || !call.mayRetry || !p.node.ledger.enough(call) {
+	if refused.Final || !call.retryAllowed || !p.node.ledger.hasEnough(call) {
 		return false
 	}
 	if p.node.now.Expiry >= call.deadline {
 		return false
 	}
-	return repeatable(call, refused) && p.node.placement.mayRetry(call.head.Service)
+	return safeToRetry(call, refused) && p.node.placement.takeRetry(call.head.Service)
 }
 
-// maximumHops bounds the nodes that a routed request is sent to, whether or not
-// their backend servers saw it. With two choices each time, three full servers
-// in a row mean that most are full.
+// maximumHops is the number of attempts of a routed request, including those
+// that no backend server saw, from which on an attempt that no backend server
+// saw is not followed by another. With two candidates compared each time, three
+// full servers in a row mean that most servers are full.
 const maximumHops = 3
 
-// maximumSends bounds how often backend servers see one routed request. A server
-// that rejects half of what it gets serves 94 in 100 within four.
+// maximumSends bounds how often backend servers see one routed request. Against
+// a server that rejects half of its requests, four attempts succeed in 94 of
+// 100 cases.
 const maximumSends = 4
 
-func repeatable(call *entryCall, refused coltsfootward.Refusal) bool {
+func safeToRetry(call *entryCall, refused coltsfootward.Refusal) bool {
 	if refused.Execution == coltsfootward.ExecutionNotRun {
 		return retryableKind(refused.Kind)
 	}
--- a/core/node/evidence.go
+++ b/core/node/evidence.go
@@ -9,8 +9,8 @@
 	"coltsfootward/core/record"
 )
 
-// What decided a refusal is reported with it, so that an operator can tell its
-// cause from the log alone.
+// The fields that explain a refusal are logged with it, so that operators can
+// determine its cause from the log alone.
 
 func refusalFields(request coltsfootward.RequestID, r coltsfootward.Refusal) []record.Field {
 	return []record.Field{
@@ -19,7 +19,8 @@
 	}
 }
 
-// evidence says what an entry node knows of a call that it ends.
+// evidence returns the log fields with the state of a call on its entry node
+// when the call ends.
 func (p *entryPart) evidence(call *entryCall) []record.Field {
 	fields := []record.Field{
 		field("service", string(call.head.Service)),
@@ -27,8 +28,8 @@
 		field("organisation", string(call.head.Organisation)),
 		field("priority", string(call.head.Priority)),
 		field("depth", number(call.head.Depth)),
-		field("waited", short(p.node.now.Expiry-call.arrived)),
-		field("left", short(call.deadline-p.node.now.Expiry)),
+		field("waited", rounded(p.node.now.Expiry-call.arrivedAt)),
+		field("left", rounded(call.deadline-p.node.now.Expiry)),
 		field("hops", number(call.hops)),
 		field("sends", number(call.sends)),
 	}
@@ -38,8 +39,9 @@
 	return fields
 }
 
-// evidence says by what an organisation's rate was spent: rate and burst in force
-// and, for each part, who holds it, what was left there, and how old that is.
+// evidence returns the log fields that show how an organisation's rate was used
+// up: the rate and burst in force and, for each part, its holder, the tokens
+// left there, and the age of that information.
 func (p *ratePart) evidence(a *account) []record.Field {
 	var parts []string
 	for i, part := range a.share.Current() {
@@ -66,39 +68,42 @@
 	case !view.asked:
 		text += " not asked"
 	default:
-		text += fmt.Sprintf(" %d left %s ago", view.level, short(now-view.told))
+		text += fmt.Sprintf(" %d left %s ago", view.level, rounded(now-view.told))
 	}
 	if wait := view.blockedUntil - now; wait > 0 {
-		text += ", asked again in " + short(wait)
+		text += ", asked again in " + rounded(wait)
 	}
 	return text
 }
 
-// gateEvidence says how far a gate was closed and who wanted it so.
+// gateEvidence returns the log fields that show how far the gate of a service
+// was closed, the excess load reported for the service, and the age of that
+// report.
 func (p *entryPart) gateEvidence(call *entryCall, service coltsfootward.ServiceName) []record.Field {
 	state := p.node.gates.State(p.node.now.Monotonic, service)
 	fields := []record.Field{
 		field("full", string(service)),
 		field("passed", decimal(state.Passed)),
 		field("excess", decimal(state.Excess)),
-		field("age", short(state.Age)),
+		field("age", rounded(state.Age)),
 		field("rank", number(call.head.ShedRank)),
 		field("limit", number(state.Limit)),
 	}
-	return coldField(fields, p.node.placement.coldReturn(service))
+	return coldField(fields, p.node.placement.coldRetryAfter(service))
 }
 
-// coldField adds how much longer servers are cold, if they are.
-func coldField(fields []record.Field, left time.Duration) []record.Field {
-	if left <= 0 {
+// coldField appends how much longer servers are cold, if any are.
+func coldField(fields []record.Field, remaining time.Duration) []record.Field {
+	if remaining <= 0 {
 		return fields
 	}
-	return append(fields, field("cold", short(left)))
+	return append(fields, field("cold", rounded(remaining)))
 }
 
-// targetEvidence says why no backend server of the call's service could be chosen.
+// targetEvidence returns the log fields that show why no backend server of the
+// call's service could be chosen.
 func (p *entryPart) targetEvidence(call *entryCall) []record.Field {
-	census := p.node.placement.service(call.head.Service).pool.Census(p.node.now.Monotonic, call.tried)
+	census := p.node.placement.poolFor(call.head.Service).pool.Census(p.node.now.Monotonic, call.tried)
 	fields := []record.Field{
 		field("known", number(census.Known)),
 		field("tried", number(census.Tried)),
@@ -107,13 +112,13 @@
 		field("unreachable", number(census.Unreachable)),
 	}
 	if out := p.node.domains.current.Domains; len(out) > 0 {
-		fields = append(fields, field("out_of_service", names(out)))
+		fields = append(fields, field("out_of_service", joinDomains(out)))
 	}
 	return fields
 }
 
-// names returns failure domains in one text.
-func names(domains []coltsfootward.FailureDomain) string {
+// joinDomains returns the names of failure domains as one text.
+func joinDomains(domains []coltsfootward.FailureDomain) string {
 	var all []string
 	for _, domain := range domains {
 		all = append(all, string(domain))
@@ -121,7 +126,8 @@
 	return strings.Join(all, ", ")
 }
 
-// evidence says how full the backend server was when a call for it was refused.
+// evidence returns the log fields that show the load of the backend server when
+// a call for it was refused.
 func (p *upstreamPart) evidence(call *upstreamCall) []record.Field {
 	fields := []record.Field{
 		field("service", string(call.head.Service)),
@@ -132,14 +138,14 @@
 		field("running", number(p.admission.Running())),
 		field("queued", number(p.admission.Queued())),
 		field("limit", number(p.admission.Limit())),
-		field("backlog", short(p.admission.Backlog())),
-		field("waited", short(p.node.now.Expiry-call.arrived)),
-		field("left", short(call.deadline-p.node.now.Expiry)),
+		field("backlog", rounded(p.admission.Backlog())),
+		field("waited", rounded(p.node.now.Expiry-call.arrivedAt)),
+		field("left", rounded(call.deadline-p.node.now.Expiry)),
 	}
-	return coldField(fields, p.coldLeft())
+	return coldField(fields, p.coldRemaining())
 }
 
-// shortest is the precision of the times in evidence.
-const shortest = 100 * time.Microsecond
+// durationPrecision is the precision of durations in evidence fields.
+const durationPrecision = 100 * time.Microsecond
 
-func short(d time.Duration) string { return d.Round(shortest).String() }
+func rounded(d time.Duration) string { return d.Round(durationPrecision).String() }
--- a/core/pressure/price.go
+++ b/core/pressure/price.go
@@ -1,38 +1,38 @@
 package pressure
 
 const (
-	// bandBits is how many bits of a shed rank tell how important a request is;
-	// the rest is chance.
+	// bandBits is the number of leading bits of a shed rank that hold the importance
+	// of a request.
 	bandBits = 4
 	bands    = 1 << bandBits
-	// chanceBits is how many bits of a rank are chance.
-	chanceBits = rankBits - bandBits
-	chance     = 1 << chanceBits
-	// dearFrom is how many times the mean slot time of its band a request must
-	// take to count as dear.
-	dearFrom = 2.0
-	// dearPart is what is served of the dear requests, as a part of what is served
-	// of the others, while some of those are refused, too.
-	dearPart = 0.4
+	// hashBits is the number of remaining bits of a shed rank, which hold a hash.
+	hashBits  = rankBits - bandBits
+	hashRange = 1 << hashBits
+	// A request is expensive if it takes at least expensiveFactor times the mean slot
+	// time of its band.
+	expensiveFactor = 2.0
+	// expensiveShare is the share of expensive requests that is served relative to
+	// the share of the others, while some of the others are refused as well.
+	expensiveShare = 0.4
 )
 
-// prices knows what requests of each importance take of a service's slot time,
-// and orders those of the same importance by it.
+// bandCosts tracks the slot time that requests of each importance take at a service,
+// and orders requests of the same importance by their slot time.
 //
-// The load that it is made for: a service is asked for half as much again as it
-// has, and of equally important requests some take four times the slot time of
-// others. Refused by chance alone, half of all callers go away. Of the dear ones
-// each that is refused makes room for four others, so refusing those first serves
-// most callers. A part of them goes with the others, or under a long overload nobody
-// would be served who asks for such work.
-type prices struct {
+// The design load is 1.5 times the capacity of a service, with some requests that
+// take four times the slot time of other, equally important ones. When requests were
+// refused at random, half of all callers gave up. Each expensive request that is
+// refused makes room for four others, so refusing expensive requests first serves the
+// most callers. A share of them is treated like the others; otherwise no caller of
+// expensive requests would be served during a long overload.
+type bandCosts struct {
 	sums   [bands]float64
 	counts [bands]float64
 }
 
-// cost returns the slot time of a request of which cost is known, and the mean of
-// all requests for one of which nothing is.
-func (p *prices) cost(known float64) float64 {
+// cost returns the known slot time of a request or, if it is unknown, the mean slot
+// time of all requests.
+func (p *bandCosts) cost(known float64) float64 {
 	if known > 0 {
 		return known
 	}
@@ -47,35 +47,35 @@
 	return sum / count
 }
 
-// count takes in a request.
-func (p *prices) count(rank uint32, cost float64) {
+// observe adds a request to the averages.
+func (p *bandCosts) observe(rank uint32, cost float64) {
 	band := bandOf(rank)
 	p.sums[band] += cost
 	p.counts[band]++
 }
 
-// fade lets older requests count less.
-func (p *prices) fade() {
+// decay reduces the weight of older requests.
+func (p *bandCosts) decay() {
 	for i := range p.sums {
-		p.sums[i] *= demandFade
-		p.counts[i] *= demandFade
+		p.sums[i] *= demandDecay
+		p.counts[i] *= demandDecay
 	}
 }
 
-// place returns the rank in whose place a request is refused: in the first half of
-// its band, or in the second if it is dear and not of the part that goes with the
-// others.
-func (p *prices) place(rank uint32, cost float64) uint32 {
-	band, hash := bandOf(rank), float64(rank%chance)/chance
+// effectiveRank returns the rank by which a request is refused. It lies in the first
+// half of the request's band, or in the second half if the request is expensive and
+// does not belong to the share that is treated like the others.
+func (p *bandCosts) effectiveRank(rank uint32, cost float64) uint32 {
+	band, hash := bandOf(rank), float64(rank%hashRange)/hashRange
 	switch {
-	case p.counts[band] < 1 || cost*p.counts[band] < dearFrom*p.sums[band]:
+	case p.counts[band] < 1 || cost*p.counts[band] < expensiveFactor*p.sums[band]:
 		hash /= 2
-	case hash < dearPart:
-		hash /= 2 * dearPart
+	case hash < expensiveShare:
+		hash /= 2 * expensiveShare
 	default:
-		hash = 0.5 + (hash-dearPart)/(1-dearPart)/2
+		hash = 0.5 + (hash-expensiveShare)/(1-expensiveShare)/2
 	}
-	return uint32(band)<<chanceBits + uint32(hash*chance)
+	return uint32(band)<<hashBits + uint32(hash*hashRange)
 }
 
-func bandOf(rank uint32) int { return int(min(rank>>chanceBits, bands-1)) }
+func bandOf(rank uint32) int { return int(min(rank>>hashBits, bands-1)) }
--- a/core/rate/purse.go
+++ b/core/rate/purse.go
@@ -8,82 +8,82 @@
 	"coltsfootward"
 )
 
-// Chunk is tokens that were drawn together.
+// Chunk is a number of tokens that were drawn together and expire together.
 type Chunk struct {
 	Tokens int64
-	// Expires is when they are void, by Instant.Expiry.
+	// Expires is when the tokens expire, by Instant.Expiry.
 	Expires time.Duration
 }
 
-// Purse keeps an organisation's drawn tokens at an entry node. The zero value
-// is empty. It is not safe for concurrent use.
+// Purse caches the tokens that an entry node has drawn for an organisation. The
+// zero value is empty. It is not safe for concurrent use.
 type Purse struct {
-	// chunks are in the order of their expiry.
-	chunks []Chunk
+	// batches are sorted by expiry.
+	batches []Chunk
 }
 
-// Add puts drawn tokens in.
+// Add adds drawn tokens.
 func (p *Purse) Add(c Chunk) {
 	if c.Tokens <= 0 {
 		return
 	}
-	index, _ := slices.BinarySearchFunc(p.chunks, c.Expires, func(held Chunk, expires time.Duration) int {
+	index, _ := slices.BinarySearchFunc(p.batches, c.Expires, func(held Chunk, expires time.Duration) int {
 		return int(min(max(held.Expires-expires, -1), 1))
 	})
-	p.chunks = slices.Insert(p.chunks, index, c)
+	p.batches = slices.Insert(p.batches, index, c)
 }
 
-// Take takes the token that expires first and returns it as a chunk of one.
-// Tokens that would expire within spare are left: they could not be spent.
-func (p *Purse) Take(now coltsfootward.Instant, spare time.Duration) (Chunk, bool) {
+// Take removes the token that expires first and returns it as a batch of one. It
+// skips tokens that expire within margin, since they could not be spent in time.
+func (p *Purse) Take(now coltsfootward.Instant, margin time.Duration) (Chunk, bool) {
 	p.expire(now)
-	for i := range p.chunks {
-		if p.chunks[i].Expires <= now.Expiry+spare {
+	for i := range p.batches {
+		if p.batches[i].Expires <= now.Expiry+margin {
 			continue
 		}
-		one := p.chunks[i]
-		one.Tokens = 1
-		p.chunks[i].Tokens--
-		if p.chunks[i].Tokens == 0 {
-			p.chunks = slices.Delete(p.chunks, i, i+1)
+		token := p.batches[i]
+		token.Tokens = 1
+		p.batches[i].Tokens--
+		if p.batches[i].Tokens == 0 {
+			p.batches = slices.Delete(p.batches, i, i+1)
 		}
-		return one, true
+		return token, true
 	}
 	return Chunk{}, false
 }
 
-// Tokens returns how many tokens can be spent at now.
+// Tokens returns the number of tokens that have not expired at now.
 func (p *Purse) Tokens(now coltsfootward.Instant) int64 {
 	p.expire(now)
 	var sum int64
-	for _, c := range p.chunks {
+	for _, c := range p.batches {
 		sum += c.Tokens
 	}
 	return sum
 }
 
 func (p *Purse) expire(now coltsfootward.Instant) {
-	p.chunks = slices.DeleteFunc(p.chunks, func(c Chunk) bool { return c.Expires <= now.Expiry })
+	p.batches = slices.DeleteFunc(p.batches, func(c Chunk) bool { return c.Expires <= now.Expiry })
 }
 
-// demandWindow is how far back demand is remembered.
+// demandWindow is the time constant with which the demand estimate decays.
 const demandWindow = time.Second
 
-// Demand estimates how many requests a second arrive. The zero value is ready.
-// It is not safe for concurrent use.
+// Demand estimates the rate of arriving requests as an exponentially decaying
+// average. The zero value is ready for use. It is not safe for concurrent use.
 type Demand struct {
-	perSecond float64
-	noted     time.Duration
+	perSecond   float64
+	lastRequest time.Duration
 }
 
 // Note counts one request.
 func (d *Demand) Note(now coltsfootward.Instant) {
 	d.perSecond = d.PerSecond(now) + 1/demandWindow.Seconds()
-	d.noted = now.Monotonic
+	d.lastRequest = now.Monotonic
 }
 
-// PerSecond returns the estimate; what is older counts for less.
+// PerSecond returns the estimated request rate at now, in requests per second.
 func (d *Demand) PerSecond(now coltsfootward.Instant) float64 {
-	elapsed := now.Monotonic - d.noted
+	elapsed := now.Monotonic - d.lastRequest
 	return d.perSecond * math.Exp(-elapsed.Seconds()/demandWindow.Seconds())
 }
