--- a/cmd/daemon/hosted.go
+++ b/cmd/daemon/hosted.go
@@ -88,18 +88,18 @@
 	c.serve(l.backend, h.heartbeatRouter())
 	c.serve(l.ready, h.readyRouter())
 	h.watcher = document.New(document.Options{
-		Source:   documents,
-		Duty:     h.documentTask,
-		Found:    h.applyDocument,
-		Failed:   h.platformFailed,
-		Answered: h.platformAnswered,
+		Source:     documents,
+		Task:       h.documentTask,
+		OnDocument: h.applyDocument,
+		OnError:    h.platformFailed,
+		OnResponse: h.platformAnswered,
 	})
 	h.wait.Go(h.findBackend)
 }
 
-func (h *hosted) documentTask() node.DocumentDuty {
+func (h *hosted) documentTask() node.DocumentTask {
 	task := node.DocumentNone
-	h.components.loop.Inspect(func(n *node.Node) { task = n.DocumentDuty() })
+	h.components.loop.Inspect(func(n *node.Node) { task = n.DocumentTask() })
 	return task
 }
 
@@ -171,7 +171,7 @@
 		Service:  coltsfootward.ServiceName(h.components.settings.Backend.Service),
 		Slots:    current.Slots,
 		Draining: current.State != coltsfootward.BackendReady,
-		Cold:     current.Cold,
+		Cold:     current.ColdRemaining,
 	})
 	return h.components.loop.Inspect(func(*node.Node) {})
 }
@@ -216,7 +216,7 @@
 	defer h.mu.Unlock()
 	recovered := h.backendMachine.Recover(coltsfootward.Heartbeat{
 		ID: health.ID, Service: h.backendMachine.Service, Address: h.backendMachine.Address,
-		Slots: health.Slots, Cold: health.Cold, State: coltsfootward.BackendReady,
+		Slots: health.Slots, ColdRemaining: health.Cold, State: coltsfootward.BackendReady,
 	})
 	if recovered {
 		h.components.reporter.event(record.BackendFound, "backend", health.ID)
--- a/cmd/daemon/metrics.go
+++ b/cmd/daemon/metrics.go
@@ -132,7 +132,7 @@
 		}
 	case node.MessageArrived:
 		m.add(countMessagesReceived, 1)
-	case node.TableAnswered:
+	case node.TableResult:
 		if e.Err != nil && e.Err != coltsfootward.ErrConflict {
 			m.add(countPlatformFailures, 1)
 		}
@@ -142,7 +142,7 @@
 func (m *metrics) countCallDone(e node.CallDone) {
 	m.recordCallLatency(e.Call, m.latencies.answered)
 	delete(m.arrivals, e.Call)
-	if e.Whole {
+	if e.Complete {
 		m.add(countAnswersWhole, 1)
 		return
 	}
@@ -237,7 +237,7 @@
 		Limit:             load.Limit,
 		ShedLevel:         load.ShedLevel,
 		OutOfService:      n.OutOfService().Domains,
-		ColdMilliseconds:  cold.Left.Milliseconds(),
+		ColdMilliseconds:  cold.Remaining.Milliseconds(),
 		ColdPassed:        cold.Passed,
 		ColdRefused:       cold.Refused,
 	}
--- a/cmd/daemon/parts.go
+++ b/cmd/daemon/parts.go
@@ -69,12 +69,12 @@
 	handler := &peerHandler{ready: make(chan struct{}), reporter: c.reporter, metrics: c.metrics}
 	c.transport = peer.NewTransport(options.Self, clock.Now, handler, l.peers)
 	source := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	c.loop = loop.New(node.New(options, source, clock.Now()), clock, loop.Outlets{
+	c.loop = loop.New(node.New(options, source, clock.Now()), clock, loop.Handlers{
 		Send:    c.send,
 		Table:   c.table,
 		Report:  c.reporter.report,
 		Drained: c.closeDrained,
-		InForce: func(configuration coltsfootward.Configuration) {
+		ConfigurationInForce: func(configuration coltsfootward.Configuration) {
 			if c.hosted != nil {
 				c.hosted.setConfiguration(configuration)
 			}
--- a/cmd/daemon/report.go
+++ b/cmd/daemon/report.go
@@ -98,6 +98,6 @@
 // observeClock updates the hybrid logical clock from a peer's message that carries one.
 func (r *reporter) observeClock(m message.Message) {
 	if stamper, ok := m.(message.Stamper); ok {
-		r.timeline.Heard(stamper.SentAt(), time.Now())
+		r.timeline.Observe(stamper.SentAt(), time.Now())
 	}
 }
