--- a/io/iotest/node.go
+++ b/io/iotest/node.go
@@ -1,5 +1,5 @@
-// Package iotest starts whole nodes in a test's own process, with real sockets
-// on loopback and a fake of the platform's table.
+// Package iotest runs complete nodes in the test process, with real sockets on the
+// loopback interface and a fake of the platform's table.
 package iotest
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/gorilla/mux"
 )
 
-// Wait is how long tests wait for a condition before they give up.
+// Wait is the time after which a test that waits for a condition fails.
 const Wait = 30 * time.Second
 
 // Table is a fake of the platform's table that several nodes may share.
@@ -35,7 +35,7 @@
 	fake *nodetest.Rig
 }
 
-// NewTable returns a table that holds the changes.
+// NewTable returns a table that contains the changes.
 func NewTable(changes ...coltsfootward.Change) *Table {
 	t := &Table{fake: nodetest.New(1)}
 	t.fake.Submit(changes...)
@@ -63,16 +63,16 @@
 	return t.fake.Table.Transact(ctx, transaction)
 }
 
-// Node is a node that runs in this process.
+// Node is a node that runs in the test process.
 type Node struct {
-	// Instance says which node it is.
+	// Instance identifies the node.
 	Instance coltsfootward.Instance
-	// Callers is the address of its face for callers, Backend the one for its
-	// backend server.
+	// Callers is the address of the listener for callers, Backend that of the listener
+	// for the local backend server.
 	Callers, Backend string
-	// Loop runs its machine.
+	// Loop runs the node's state machine.
 	Loop *loop.Loop
-	// Transport connects it with its peers.
+	// Transport connects the node with its peers.
 	Transport *peer.Transport
 
 	upstream *upstream.Server
@@ -131,7 +131,7 @@
 	return listener.Addr().String()
 }
 
-// Stop ends the node at once.
+// Stop closes the node at once, without draining.
 func (n *Node) Stop() {
 	n.once.Do(func() {
 		n.Loop.Close()
@@ -142,7 +142,8 @@
 	})
 }
 
-// Announce tells the node what its backend server at address offers.
+// Announce announces a backend server at address with a service and a number of slots
+// to the node.
 func (n *Node) Announce(t testing.TB, address string, service coltsfootward.ServiceName, slots int) {
 	t.Helper()
 	data, err := json.Marshal(upstream.Announcement{Service: service, Address: address, Slots: slots, Connections: slots})
@@ -159,8 +160,8 @@
 	}
 }
 
-// AwaitUpstreams waits until the node knows that many upstreams and has a
-// configuration in force.
+// AwaitUpstreams waits until the node has a configuration in force and at least count
+// upstreams.
 func (n *Node) AwaitUpstreams(t testing.TB, count int) {
 	t.Helper()
 	Until(t, "upstreams known", func() bool {
@@ -170,17 +171,17 @@
 	})
 }
 
-// Until waits for a condition.
+// Until waits until done returns true. It fails the test after Wait.
 func Until(t testing.TB, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Wait); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("gave up waiting for: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Records returns what the node has reported.
+// Records returns the log records that the node has reported.
 func (n *Node) Records() []record.Record {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/io/peer/call.go
+++ b/io/peer/call.go
@@ -9,9 +9,10 @@
 	"coltsfootward/core/message"
 )
 
-// CallError says that a call got no answer from the peer.
+// CallError is the error of a call that got no response from the peer.
 type CallError struct {
-	// Sent is set if a byte of the call may have left this node.
+	// Sent is set if this node may have sent any byte of the call, so that the peer
+	// may have executed it.
 	Sent bool
 	Err  error
 }
@@ -19,25 +20,25 @@
 // Error implements error.
 func (e *CallError) Error() string {
 	if e.Sent {
-		return fmt.Sprintf("peer: call broke off: %v: it may have run", e.Err)
+		return fmt.Sprintf("peer: call failed after it was sent: %v: the peer may have executed it", e.Err)
 	}
-	return fmt.Sprintf("peer: call not sent: %v: it did not run", e.Err)
+	return fmt.Sprintf("peer: call not sent: %v: the peer did not execute it", e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Answer is a peer's answer: its head, and its body as it arrives.
+// Answer is a peer's response: the head, and the body as a stream.
 type Answer struct {
 	Head   message.Response
 	stream *stream
 }
 
-// Read implements io.Reader for the body. It returns io.EOF only if the body
-// is whole, else ErrTruncated or the connection's error.
+// Read implements io.Reader for the body. It returns io.EOF only after the
+// complete body, else ErrTruncated or the connection's error.
 func (a *Answer) Read(p []byte) (int, error) { return a.stream.Read(p) }
 
-// End returns the answer's end and true once the body is whole.
+// End returns the trailer of the response and true once the end frame has arrived.
 func (a *Answer) End() (message.ResponseEnd, bool) {
 	select {
 	case <-a.stream.ended:
@@ -47,10 +48,11 @@
 	}
 }
 
-// Close ends the call. If its answer is not whole, the peer is told to stop.
+// Close ends the call. It sends the peer a reset if the response is incomplete.
 func (a *Answer) Close() { a.stream.leave() }
 
-// leave forgets the call on this side and tells the peer unless it has ended.
+// cancel removes the call on this side and sends the peer a reset, unless the call
+// has ended already.
 func (s *stream) leave() {
 	s.connection.forget(s.id)
 	select {
@@ -62,8 +64,8 @@
 	s.fail(ErrTruncated)
 }
 
-// Call sends a request and waits for the head of its answer. The error is
-// always a *CallError. The caller closes the answer.
+// Call sends a request and waits for the head of the response. The error is
+// always a *CallError. The caller must close the response.
 func (t *Transport) Call(ctx context.Context, to coltsfootward.Instance, head message.Call, body []byte) (*Answer, error) {
 	c, err := t.dial(ctx, to)
 	if err != nil {
@@ -80,8 +82,8 @@
 	c.touch()
 	answer, err := s.call(ctx, body)
 	if err != nil {
-		// Withdrawn first: a call that still waits in the ring must not leave
-		// after its caller was told that it had not been sent.
+		// The call is withdrawn first: one that still waits in the write queue must
+		// not be sent after Call has reported that it was not.
 		sent := !s.withdraw()
 		s.leave()
 		return nil, &CallError{Sent: sent, Err: err}
@@ -111,8 +113,9 @@
 	}
 }
 
-// startBody sends the body. One that fits into the window is sent at once,
-// without a goroutine to wait for the peer; the channel then stays silent.
+// startBody sends the body. A body that fits into the flow-control window is sent
+// at once, without a goroutine that waits for credits, and the returned channel is
+// nil. Otherwise the channel receives the result of sending.
 func (s *stream) startBody(ctx context.Context, body []byte) (<-chan error, error) {
 	if len(body) <= windowChunks*chunkSize {
 		return nil, s.sendBody(ctx, body)
@@ -122,7 +125,8 @@
 	return written, nil
 }
 
-// headOr returns the head if it arrived before the call broke.
+// responseOrError returns the response if its head arrived before the call failed,
+// else err.
 func (s *stream) headOr(err error) (*Answer, error) {
 	select {
 	case head := <-s.head:
@@ -139,20 +143,20 @@
 	return s.connection.sendValue(frameEnd, s.id, &message.ResponseEnd{})
 }
 
-// AnswerWriter answers one call. It is not safe for concurrent use.
+// AnswerWriter writes the response to one call. It is not safe for concurrent use.
 type AnswerWriter struct {
 	stream *stream
 	ctx    context.Context
 	ended  bool
 }
 
-// Head sends the answer's head. It is called once, before Write.
+// Head sends the head of the response. It must be called once, before Write.
 func (w *AnswerWriter) Head(head message.Response) error {
 	return w.stream.connection.sendValue(frameAnswer, w.stream.id, &head)
 }
 
-// Whole sends an answer with its body and end. It is called in place of Head, Write and
-// End, and spares both sides two of three frames where the body fits into one.
+// Whole sends a complete response. It replaces the calls of Head, Write and End, and
+// needs one frame instead of three if the body fits into a chunk.
 func (w *AnswerWriter) Whole(head message.Response, body []byte, end message.ResponseEnd) error {
 	if len(body) <= chunkSize {
 		w.ended = true
@@ -167,17 +171,18 @@
 	return w.End(end)
 }
 
-// Write implements io.Writer for the body and waits while the peer's window is full.
+// Write implements io.Writer for the body. It blocks while the flow-control window
+// is full.
 func (w *AnswerWriter) Write(p []byte) (int, error) { return w.stream.write(w.ctx, p) }
 
-// End marks the answer as whole.
+// End completes the response.
 func (w *AnswerWriter) End(end message.ResponseEnd) error {
 	w.ended = true
 	return w.stream.connection.sendValue(frameEnd, w.stream.id, &end)
 }
 
-// finish ends the call on this side. An answer without its end is reset, so
-// that the peer never takes it for whole.
+// finish ends the call on this side. It resets a response that was not completed,
+// so that the peer cannot mistake it for a complete one.
 func (w *AnswerWriter) finish() {
 	w.stream.connection.forget(w.stream.id)
 	if !w.ended {
--- a/io/peer/close_test.go
+++ b/io/peer/close_test.go
@@ -9,11 +9,12 @@
 	"coltsfootward/core/message"
 )
 
-// closeBound is how long the end of a transport may take. What it waits for is its
-// own goroutines and never the network.
+// closeBound is the maximum duration of Transport.Close, which waits for the transport's
+// own goroutines and never for the network.
 const closeBound = 500 * time.Millisecond
 
-// A node that stopped while it dialled a peer that was cut off outlived its grace.
+// A node that was stopped while it dialled an unreachable peer exceeded the grace period
+// for its shutdown, because Close waited for the dial.
 func TestCloseWaitsForNoDial(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,11 +27,12 @@
 	begun := time.Now()
 	north.Close()
 	if took := time.Since(begun); took > closeBound {
-		t.Errorf("Close took %v with a dial under way, want %v at most", took, closeBound)
+		t.Errorf("Close took %v with a pending dial, want %v at most", took, closeBound)
 	}
 }
 
-// A node that stopped while somebody had connected and said nothing outlived its grace.
+// A node that was stopped while an accepted connection had sent no hello yet exceeded the
+// grace period for its shutdown, because Close waited for the handshake.
 func TestCloseWaitsForNoHello(t *testing.T) {
 	north, instance := newTransport(t, "north-1")
 	c, err := net.Dial("tcp", instance.Address)
@@ -42,6 +44,6 @@
 	begun := time.Now()
 	north.Close()
 	if took := time.Since(begun); took > closeBound {
-		t.Errorf("Close took %v with a connection that says nothing, want %v at most", took, closeBound)
+		t.Errorf("Close took %v with a connection that sends nothing, want %v at most", took, closeBound)
 	}
 }
--- a/io/peer/concurrent_test.go
+++ b/io/peer/concurrent_test.go
@@ -14,7 +14,7 @@
 	"coltsfootward/io/peer"
 )
 
-// echo answers each call with its own path.
+// echo responds to each call with the call's path.
 type echo struct{ t *testing.T }
 
 func (e *echo) ServeCall(_ context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
@@ -25,7 +25,7 @@
 		return
 	}
 	if _, err := io.WriteString(w, call.Head.Path); err == nil {
-		_ = w.End(message.ResponseEnd{}) // the caller sees a truncated answer otherwise
+		_ = w.End(message.ResponseEnd{}) // without an end, the caller sees a truncated response
 	}
 }
 
@@ -49,10 +49,10 @@
 	return transport, self
 }
 
-// Callers that arrive together got "502 connection_lost" in rows: two calls
-// took their numbers in one order and queued their frames in the other, the
-// peer took the lower number for one used before and closed the connection,
-// and every call on it was lost with an unknown end.
+// Concurrent callers received "502 connection_lost" in groups: two calls were given their
+// IDs in one order and queued their frames in the other, so the peer rejected the lower
+// ID as used before and closed the connection. Every call on the connection then ended
+// with an unknown outcome.
 func TestConcurrentCallsKeepTheConnection(t *testing.T) {
 	north, _ := newTransport(t, "north-1")
 	_, south := newTransport(t, "south-1")
@@ -65,7 +65,7 @@
 				path := fmt.Sprintf("/%d/%d", caller, i)
 				answer, err := north.Call(ctx, south, message.Call{Path: path}, nil)
 				if err != nil {
-					t.Errorf("call %s: got %v, want an answer", path, err)
+					t.Errorf("call %s: got %v, want a response", path, err)
 					return
 				}
 				body, err := io.ReadAll(answer)
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -13,39 +13,40 @@
 	"coltsfootward"
 )
 
-// A node among hundreds has as many connections, and most of them are silent most of
-// the time, so what each one keeps is small.
+// A node in a fleet of hundreds has hundreds of connections, and most of them are idle
+// most of the time, so each connection holds little memory.
 const (
-	// outgoingFrames is the size of the ring between those who send and the
-	// goroutine that writes.
+	// writeQueueLength is the capacity, in frames, of the queue between the senders
+	// and the connection's writer goroutine.
 	outgoingFrames = 64
-	// readBuffer is the size of a connection's read buffer in bytes. Larger frames
-	// pass around it.
+	// readBufferSize is the size of a connection's read buffer in bytes. Larger frames
+	// bypass it.
 	readBuffer = 2 << 10
-	// writeBuffer is the size in bytes of the buffer that a connection has while it
-	// writes.
+	// writeBufferSize is the size in bytes of the buffer that a connection borrows from
+	// a pool while it writes.
 	writeBuffer = 16 << 10
 )
 
-// errConnectionClosed says that the connection broke or was closed.
+// errConnectionClosed reports that the connection failed or was closed.
 var errConnectionClosed = errors.New("peer: connection closed: the call may be sent to another instance")
 
-// errPeerLeaving says that the peer takes no further call on the connection.
-var errPeerLeaving = errors.New("peer: the peer is leaving: the call may be sent to another instance")
+// errPeerLeaving reports that the peer accepts no further calls on the connection,
+// because it is shutting down.
+var errPeerLeaving = errors.New("peer: the peer is shutting down: the call may be sent to another instance")
 
-// outgoing is a frame on its way to the writer.
+// writeRequest is an entry of a connection's write queue: a frame, or a flush.
 type outgoing struct {
 	frame frame
-	// begin is called before the first byte may leave; if it returns false the
-	// frame is left out. Nil always sends.
+	// beginSend is called before the first byte is written. If it returns false, the
+	// frame is skipped. If it is nil, the frame is always written.
 	begin func() bool
 	// flushed, if not nil, is closed once everything queued before has been
-	// handed to the network. Such an entry holds no frame.
+	// written to the socket. Such an entry holds no frame.
 	flushed chan struct{}
 }
 
-// connection is one TCP connection with its reader and writer goroutines. The
-// ring between them and done are all that its users touch.
+// connection is one TCP connection with its reader and writer goroutines. Only the
+// writer goroutine writes to the socket; senders append to writeQueue.
 type connection struct {
 	net      net.Conn
 	clock    func() coltsfootward.Instant
@@ -53,21 +54,23 @@
 	outgoing chan outgoing
 	done     chan struct{}
 	once     sync.Once
-	// opening is held while a call takes its number and queues its first frame.
+	// openLock is held while a call is given its ID and its first frame is queued. It
+	// is a channel so that waiting for it can end with a context.
 	opening chan struct{}
 
 	mu      sync.Mutex
 	streams map[uint32]*stream
 	next    uint32
-	// leaving is set once the peer has said goodbye.
+	// peerLeaving is set once a goodbye frame has arrived from the peer.
 	leaving bool
-	// told is set once this node has said goodbye, acknowledged once the peer
-	// has promised to send no further call.
+	// goodbyeSent is set once this node has queued its goodbye frame;
+	// goodbyeAcknowledged, once the peer has replied that it sends no further call.
 	told, acknowledged bool
 	offsets            offsets
-	// lastUsed is when a call or message last passed, by Instant.Monotonic.
+	// lastUsed is when a call or message was last sent, by Instant.Monotonic.
 	lastUsed time.Duration
-	// heard is set once a frame whose age matters has come since the last probe.
+	// receivedSinceProbe is set once a call or message, whose age matters, has arrived
+	// since the last probe.
 	heard atomic.Bool
 }
 
@@ -106,7 +109,7 @@
 	}
 }
 
-// send queues a frame and waits for room in the ring.
+// send queues a frame. It blocks while the write queue is full.
 func (c *connection) send(ctx context.Context, kind frameKind, id uint32, payload []byte) error {
 	return c.enqueue(ctx, outgoing{frame: frame{Kind: kind, Stream: id, Payload: payload}})
 }
@@ -130,7 +133,7 @@
 	}
 }
 
-// flush waits until everything queued so far has been handed to the network.
+// flush waits until everything queued so far has been written to the socket.
 func (c *connection) flush(ctx context.Context) {
 	flushed := make(chan struct{})
 	if c.enqueue(ctx, outgoing{flushed: flushed}) != nil {
@@ -143,12 +146,13 @@
 	}
 }
 
-// finish hands over everything queued so far, says that nothing follows and
-// waits until the peer has closed its side.
+// shutdown flushes the write queue, closes the sending direction and waits until
+// the peer has closed the connection.
 //
-// Closed at once with credits or pongs unread, the socket would be reset, and
-// the reset makes the peer's kernel drop what it has received but not read: the
-// end of an answer that was sent whole.
+// If the socket were closed at once while credits or pongs were still unread, the
+// kernel would reset it. A reset makes the peer's kernel discard data that it has
+// received but that was not read yet, such as the end of a response that was sent
+// completely.
 func (c *connection) finish(ctx context.Context) {
 	c.flush(ctx)
 	half, ok := c.net.(interface{ CloseWrite() error })
@@ -161,17 +165,17 @@
 	}
 }
 
-// reset tells the peer that this side has left the call. It never waits: with
-// the ring full, a goroutine that ends with the connection does.
+// reset sends the peer a frame that aborts the call. It never blocks: if the write
+// queue is full, a goroutine that ends with the connection sends the frame.
 func (c *connection) reset(id uint32) {
 	select {
 	case c.outgoing <- outgoing{frame: frame{Kind: frameReset, Stream: id}}:
 	default:
-		go func() { _ = c.send(context.Background(), frameReset, id, nil) }() // a closed connection tells the peer as well
+		go func() { _ = c.send(context.Background(), frameReset, id, nil) }() // a closed connection aborts the call as well
 	}
 }
 
-// trySend queues a frame if there is room.
+// trySend queues a frame and reports whether there was room in the write queue.
 func (c *connection) trySend(kind frameKind, payload []byte) bool {
 	return c.trySendStream(kind, 0, payload)
 }
@@ -196,7 +200,7 @@
 	return c.send(context.Background(), kind, id, payload)
 }
 
-// write runs until the connection closes.
+// writeLoop writes queued frames until the connection closes.
 func (c *connection) write() {
 	defer c.close()
 	for {
@@ -211,10 +215,11 @@
 	}
 }
 
-// frameWriters keeps writers for the connections that write just now.
+// frameWriterPool shares frame writers and their buffers among the connections that
+// are writing.
 var frameWriters = sync.Pool{New: func() any { return newFrameWriter(bufio.NewWriterSize(nil, writeBuffer)) }}
 
-// writeAll writes the frame and those that wait behind it.
+// writeBatch writes an entry and all entries queued behind it, then flushes.
 func (c *connection) writeAll(o outgoing) error {
 	frames := frameWriters.Get().(*frameWriter)
 	defer frameWriters.Put(frames)
@@ -252,7 +257,7 @@
 	return c.offsets.age(now, time.Duration(f.Sent))
 }
 
-// pong takes in the echo of a probe.
+// handlePong applies the peer's echo of a probe.
 func (c *connection) pong(f frame) error {
 	var p probe
 	if err := decode(f.Payload, &p); err != nil {
@@ -268,9 +273,9 @@
 	return nil
 }
 
-// open registers a new call and queues its first frame. Both happen under one
-// lock: the peer takes a call whose number is below one that it has seen for a
-// replay and closes the connection, so numbers must be queued in their order.
+// openCall registers a new call and queues its first frame. Both happen under
+// openLock, because IDs must be queued in ascending order: the peer rejects a call
+// whose ID is not above the last one as a replay and closes the connection.
 func (c *connection) open(ctx context.Context, payload []byte) (*stream, error) {
 	select {
 	case c.opening <- struct{}{}:
@@ -290,7 +295,7 @@
 	return s, nil
 }
 
-// openStream registers a new call.
+// openStream registers a new call under the next ID.
 func (c *connection) openStream() (*stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,9 +311,9 @@
 	return s, nil
 }
 
-// acceptStream registers a call that the peer opened. It returns nil if the
-// peer has as many calls open as one connection may have. left is called once
-// the peer has left the call or the connection has broken.
+// acceptStream registers a call that the peer opened. It returns nil if the peer
+// already has maximumStreams calls open on the connection. cancel is called once
+// the peer has aborted the call or the connection has failed.
 func (c *connection) acceptStream(id uint32, left context.CancelFunc) (*stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -340,6 +345,7 @@
 	delete(c.streams, id)
 }
 
+// touch records that the connection is in use, which restarts its idle time.
 func (c *connection) touch() {
 	now := c.clock().Monotonic
 	c.mu.Lock()
@@ -347,6 +353,8 @@
 	c.lastUsed = now
 }
 
+// idleTime returns the time since the connection was last used; zero while calls are
+// open.
 func (c *connection) idle() time.Duration {
 	now := c.clock().Monotonic
 	c.mu.Lock()
@@ -357,9 +365,9 @@
 	return now - c.lastUsed
 }
 
-// streamFrame brings a frame to its call. A frame for a call that has ended is
-// dropped: late answers must not reach another call, and numbers are never
-// used again on a connection.
+// handleStreamFrame dispatches a frame to its call. A frame for a call that has ended
+// is dropped. Since IDs are never reused on a connection, a late response cannot
+// reach another call.
 func (c *connection) streamFrame(f frame) error {
 	s := c.stream(f.Stream)
 	if s == nil {
--- a/io/peer/dial.go
+++ b/io/peer/dial.go
@@ -7,7 +7,8 @@
 	"coltsfootward/core/message"
 )
 
-// dialled is the outbound connection to one peer, or the attempt to make it.
+// dialEntry is the outbound connection to one peer, or the pending attempt to dial it.
+// The fields connection and err are set before ready is closed.
 type dialled struct {
 	ready      chan struct{}
 	connection *connection
@@ -15,7 +16,7 @@
 	address    string
 }
 
-// dial returns the connection to a peer, making one if needed.
+// dial returns the connection to a peer and dials one if there is none.
 func (t *Transport) dial(ctx context.Context, to coltsfootward.Instance) (*connection, error) {
 	d, mine := t.reserve(to)
 	if mine {
@@ -31,7 +32,8 @@
 	}
 }
 
-// reserve returns the peer's entry and whether the caller is to connect it.
+// lookupOrCreate returns the peer's entry and whether it was created, in which case
+// the caller must connect it.
 func (t *Transport) reserve(to coltsfootward.Instance) (*dialled, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,7 +45,7 @@
 	return d, true
 }
 
-// usable reports whether the entry's connection stands or is being made.
+// usable reports whether the entry's connection to address is open or being dialled.
 func (d *dialled) usable(address string) bool {
 	if d.address != address {
 		return false
@@ -91,8 +93,8 @@
 	t.handler.PeerLost(c.remote)
 }
 
-// Send sends a message without waiting. The message is lost if the peer cannot
-// be reached or its ring is full.
+// Send sends a message without blocking. The message is lost if the peer cannot be
+// reached or the connection's write queue is full.
 func (t *Transport) Send(to coltsfootward.Instance, m message.Message) {
 	payload, err := encodeMessage(m)
 	if err != nil {
--- a/io/peer/doc.go
+++ b/io/peer/doc.go
@@ -1,7 +1,7 @@
-// Package peer carries calls and messages between nodes: msgpack frames over
-// TCP, many calls at once on one connection.
+// Package peer carries calls and messages between nodes as msgpack frames
+// over TCP. Many concurrent calls share one connection.
 //
-// Calls and messages travel on the connection that their sender dialled, so
-// two nodes that talk both ways hold two connections. A call's answer is
-// whole only if its end frame arrived; anything else is an error to its reader.
+// Calls and messages are sent on the connection that their sender dialled, so
+// two nodes that send to each other hold two connections. A response is complete
+// only if its end frame has arrived; otherwise reading its body returns an error.
 package peer
--- a/io/peer/export_test.go
+++ b/io/peer/export_test.go
@@ -8,20 +8,20 @@
 	"coltsfootward/core/message"
 )
 
-// Limits that the tests go up to and beyond.
+// Limits that the tests reach and exceed.
 const (
 	MaximumFrame   = maximumFrame
 	MaximumStreams = maximumStreams
 	WindowChunks   = windowChunks
 )
 
-// Frame is a frame in the tests' hands.
+// Frame is exported for tests.
 type Frame = frame
 
-// Hello is a hello in the tests' hands.
+// Hello is exported for tests.
 type Hello = hello
 
-// The kinds of frame that the tests send by hand.
+// The kinds of frames that the tests send themselves or expect.
 const (
 	FrameHello  = frameHello
 	FrameCall   = frameCall
@@ -32,12 +32,12 @@
 	FrameReset  = frameReset
 )
 
-// NewFrame returns a frame of any kind.
+// NewFrame returns a frame of the given kind, which may be an unknown one.
 func NewFrame(kind string, stream uint32, payload []byte) Frame {
 	return Frame{Kind: frameKind(kind), Stream: stream, Payload: payload}
 }
 
-// EncodeFrame returns a frame as it goes over the wire.
+// EncodeFrame returns the encoding of a frame on the wire.
 func EncodeFrame(f Frame) []byte {
 	var buffer bytes.Buffer
 	w := bufio.NewWriter(&buffer)
@@ -50,7 +50,7 @@
 	return buffer.Bytes()
 }
 
-// Encode returns a payload.
+// Encode returns the encoding of a payload.
 func Encode(value any) []byte {
 	data, err := encode(value)
 	if err != nil {
@@ -74,10 +74,11 @@
 // Decode decodes a payload.
 func Decode(data []byte, into any) error { return decode(data, into) }
 
-// ProbeAll probes the clocks of those who have been heard since the last time.
+// ProbeActivePeers probes the clocks of the peers that have sent a call or message since
+// the last probe.
 func (t *Transport) ProbeAll() { t.probeAll() }
 
-// FrameMessage and FramePing are further kinds of frame.
+// FrameMessage and FramePing are further kinds of frames.
 const (
 	FrameMessage = frameMessage
 	FramePing    = framePing
--- a/io/peer/frame.go
+++ b/io/peer/frame.go
@@ -16,31 +16,31 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ProtocolVersion is the version of the protocol between nodes. Nodes of
-// different versions refuse each other in the hello.
+// ProtocolVersion is the version of the protocol between nodes. A node rejects a
+// hello with another version.
 const ProtocolVersion = 3
 
 const (
-	// maximumFrame bounds a frame in bytes, so that a hostile or broken peer
-	// cannot make a node allocate without bound.
+	// maximumFrameSize limits a frame in bytes, so that a hostile or faulty peer cannot
+	// make a node allocate unlimited memory.
 	maximumFrame = 1 << 20
-	// maximumPayload leaves room for the rest of the frame. A larger payload is
-	// refused to whoever sends it: found by the writer, it would take down the
-	// connection and every other call on it.
+	// maximumPayloadSize leaves room for the frame's header. A larger payload is
+	// rejected when it is queued: if only the writer detected it, the connection and
+	// every other call on it would fail.
 	maximumPayload = maximumFrame - 128
-	// chunkSize is how many bytes of a body travel in one frame.
+	// chunkSize is the maximum number of body bytes in one frame.
 	chunkSize = 32 << 10
-	// windowChunks is how many chunks a sender may have on the way unread, per
-	// call and direction.
+	// windowChunks is the flow-control window: how many chunks a sender may have sent
+	// that the receiver has not read yet, per call and direction.
 	windowChunks = 8
-	// maximumStreams bounds the calls that a peer may have open on one
-	// connection, so that it cannot make a node hold goroutines and windows
-	// without bound. A node sends another a few hundred at once under overload.
+	// maximumStreams limits the calls that a peer may have open on one connection, so
+	// that it cannot make a node hold an unlimited number of goroutines and buffers. A
+	// node has a few hundred calls open to another under overload.
 	maximumStreams = 1024
 	lengthBytes    = 4
 )
 
-// frameKind names what a frame carries.
+// frameKind is the type of a frame, as its name on the wire.
 type frameKind string
 
 const (
@@ -49,31 +49,35 @@
 	framePong    frameKind = "pong"
 	frameMessage frameKind = "message"
 	frameCall    frameKind = "call"
-	frameAnswer  frameKind = "answer"
-	// frameWhole is an answer with its body and end.
+	// frameAnswer carries the head of a response.
+	frameAnswer frameKind = "answer"
+	// frameWhole carries a complete response: head, body and end.
 	frameWhole  frameKind = "whole"
 	frameBody   frameKind = "body"
 	frameCredit frameKind = "credit"
 	frameEnd    frameKind = "end"
 	frameReset  frameKind = "reset"
-	// frameGoodbye says that the sender leaves and asks for no further call.
+	// frameGoodbye announces that the sender shuts down and requests that the receiver
+	// send no further calls.
 	frameGoodbye frameKind = "goodbye"
-	// frameNoMoreCalls answers a goodbye: no call follows on the connection.
+	// frameNoMoreCalls acknowledges a goodbye: no call follows on the connection.
 	frameNoMoreCalls frameKind = "no_more_calls"
 )
 
-// frame is the unit on the wire: a length in four bytes, then kind, stream, stamp and
-// the payload's length in msgpack, then the payload as it is.
+// frame is the unit of the protocol. On the wire it is a big-endian length of four
+// bytes, then the kind, stream, sending time and payload length in msgpack, then the
+// payload unchanged.
 type frame struct {
 	Kind frameKind
-	// Stream is the call that the frame belongs to; zero for none.
+	// Stream is the ID of the call that the frame belongs to; zero for none.
 	Stream uint32
-	// Sent is the sender's monotonic clock in nanoseconds.
+	// Sent is the sender's monotonic clock, in nanoseconds, when the frame was written.
 	Sent    int64
 	Payload []byte
 }
 
-// frameKinds finds a kind without a new string for each frame.
+// frameKindsByName maps names to kinds, so that reading a known kind allocates no
+// string.
 var frameKinds = func() map[string]frameKind {
 	kinds := make(map[string]frameKind)
 	for _, kind := range []frameKind{
@@ -85,30 +89,32 @@
 	return kinds
 }()
 
-// longestKind bounds the name of a frame's kind in bytes.
+// maximumKindLength limits the name of a frame's kind in bytes.
 const longestKind = 32
 
-// hello opens a connection in both directions.
+// hello is the payload of the first frame that each side sends on a connection.
 type hello struct {
 	Version  int                    `msgpack:"version"`
 	Instance coltsfootward.Instance `msgpack:"instance"`
-	// Probe is the acceptor's expiry clock, to be echoed in a pong.
+	// Probe is the sender's expiry clock in nanoseconds. The dialler echoes the
+	// acceptor's in a pong.
 	Probe int64 `msgpack:"probe"`
 }
 
-// probe is the payload of ping and pong: the asking side's expiry clock.
+// probe is the payload of ping and pong: the expiry clock, in nanoseconds, of the side
+// that sends the ping.
 type probe struct {
 	Probe int64 `msgpack:"probe"`
 }
 
-// wholeAnswer is the payload of a whole answer.
+// completeResponse is the payload of a frame of kind frameWhole.
 type wholeAnswer struct {
 	Head message.Response    `msgpack:"head"`
 	Body []byte              `msgpack:"body"`
 	End  message.ResponseEnd `msgpack:"end"`
 }
 
-// wholeFields is how many fields a whole answer has on the wire.
+// completeResponseFields is the number of fields of a completeResponse on the wire.
 const wholeFields = 3
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
@@ -128,7 +134,7 @@
 		return err
 	}
 	if count != wholeFields {
-		return fmt.Errorf("%d fields, want %d", count, wholeFields)
+		return fmt.Errorf("got %d fields, want %d", count, wholeFields)
 	}
 	if err := a.Head.DecodeMsgpack(decoder); err != nil {
 		return err
@@ -139,7 +145,8 @@
 	return a.End.DecodeMsgpack(decoder)
 }
 
-// FrameError says that the bytes received are no valid frame.
+// FrameError is the error of bytes that are not a valid frame or that violate the
+// protocol.
 type FrameError struct {
 	Reason string
 	Err    error
@@ -153,10 +160,10 @@
 	return fmt.Sprintf("peer: invalid frame: %s: check that both nodes run the same version", e.Reason)
 }
 
-// Unwrap returns the error that the frame failed with, or nil.
+// Unwrap returns the underlying error, or nil.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// frameWriter writes frames. Its buffer is kept from one frame to the next. It is
+// frameWriter writes frames and reuses its buffer from one frame to the next. It is
 // not safe for concurrent use.
 type frameWriter struct {
 	w       *bufio.Writer
@@ -170,7 +177,7 @@
 	return f
 }
 
-// keptBuffer bounds the buffer that is kept from one frame to the next, in bytes.
+// maximumReusedBuffer limits the buffer that is reused for the next frame, in bytes.
 const keptBuffer = 64 << 10
 
 func (fw *frameWriter) write(f frame) error {
@@ -195,7 +202,7 @@
 	return nil
 }
 
-// head encodes all of a frame but its payload.
+// encodeHeader encodes all of a frame but its payload.
 func (fw *frameWriter) head(f frame) error {
 	if err := fw.encoder.EncodeString(string(f.Kind)); err != nil {
 		return err
@@ -208,8 +215,8 @@
 	return nil
 }
 
-// frameReader reads frames. What it needs to take a frame apart is kept from one
-// frame to the next. It is not safe for concurrent use.
+// frameReader reads frames and reuses its decoder from one frame to the next. It is
+// not safe for concurrent use.
 type frameReader struct {
 	r       io.Reader
 	decoder *byteDecoder
@@ -221,11 +228,11 @@
 	return &frameReader{r: r, decoder: newByteDecoder()}
 }
 
-// readFrame reads one frame from r and nothing behind it.
+// readFrame reads one frame from r and nothing beyond it.
 func readFrame(r io.Reader) (frame, error) { return newFrameReader(r).read() }
 
-// read reads one frame. It returns io.EOF only at a frame's border and a
-// *FrameError for bytes that are no frame.
+// read reads one frame. It returns io.EOF only between two frames, and a
+// *FrameError for bytes that are not a valid frame.
 func (fr *frameReader) read() (frame, error) {
 	var f frame
 	if _, err := io.ReadFull(fr.r, fr.length[:]); err != nil {
@@ -245,7 +252,7 @@
 	return fr.parse(data)
 }
 
-// parse takes a frame apart. The payload is a part of data.
+// parse decodes a frame. The payload is a slice of data, not a copy.
 func (fr *frameReader) parse(data []byte) (frame, error) {
 	var f frame
 	fr.decoder.take(data)
@@ -261,7 +268,7 @@
 	}
 	f = frame{Kind: kind, Stream: uint32(numbers[0]), Sent: numbers[1], Payload: fr.decoder.rest(data)}
 	if int64(len(f.Payload)) != numbers[2] || int64(f.Stream) != numbers[0] {
-		return f, &FrameError{Reason: "a frame whose parts do not fit its length"}
+		return f, &FrameError{Reason: "the fields of the frame do not fit its length"}
 	}
 	return f, nil
 }
@@ -272,7 +279,7 @@
 		return "", err
 	}
 	if length < 0 || length > longestKind {
-		return "", fmt.Errorf("a kind of %d bytes", length)
+		return "", fmt.Errorf("frame kind of %d bytes", length)
 	}
 	name := fr.kind[:length]
 	if err := fr.decoder.ReadFull(name); err != nil {
@@ -284,7 +291,7 @@
 	return frameKind(name), nil
 }
 
-// byteDecoder decodes from bytes, and can be given others when it is done.
+// byteDecoder is a msgpack decoder that can be reused for several byte slices.
 type byteDecoder struct {
 	*msgpack.Decoder
 	source bytes.Reader
@@ -296,20 +303,21 @@
 	return d
 }
 
-// take begins to decode data.
+// load makes the decoder read from the start of data.
 func (d *byteDecoder) take(data []byte) {
 	d.source.Reset(data)
 	d.Reset(&d.source)
 }
 
-// rest returns what of data, which it has taken, is not decoded yet.
+// remainder returns the part of data that is not decoded yet. The decoder must have
+// been loaded with data.
 func (d *byteDecoder) rest(data []byte) []byte { return data[len(data)-d.source.Len():] }
 
-// byteDecoders keeps decoders for reuse.
+// byteDecoderPool holds decoders for reuse.
 var byteDecoders = sync.Pool{New: func() any { return newByteDecoder() }}
 
-// decode decodes a payload. A panic of the decoder on hostile bytes becomes an
-// error like any other.
+// decode decodes a payload. It converts a panic of the decoder, which hostile bytes
+// can cause, to a *FrameError.
 func decode(data []byte, into any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -331,10 +339,11 @@
 	return nil
 }
 
-// usualPayload is the size of most payloads in bytes.
+// typicalPayloadSize is the initial capacity of an encoding buffer in bytes. Most
+// payloads fit into it.
 const usualPayload = 512
 
-// encoded returns what write encodes.
+// encodeWith returns the bytes that write encodes.
 func encoded(write func(*msgpack.Encoder) error) ([]byte, error) {
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
@@ -353,7 +362,7 @@
 	return encoded(func(encoder *msgpack.Encoder) error { return encoder.Encode(value) })
 }
 
-// encodeMessage encodes a message behind its kind.
+// encodeMessage encodes the kind of a message followed by the message.
 func encodeMessage(m message.Message) ([]byte, error) {
 	return encoded(func(encoder *msgpack.Encoder) error {
 		if err := encoder.EncodeString(string(m.MessageKind())); err != nil {
@@ -383,24 +392,28 @@
 	return m, nil
 }
 
-// clockDrift is how much two monotonic clocks may differ per second.
+// clockDrift is the maximum drift between the monotonic clocks of two nodes per
+// second.
 const clockDrift = 500 * time.Microsecond
 
-// offsets bounds the difference between the peer's clock and this node's.
+// clockOffset is a lower bound of the offset from the peer's monotonic clock to this
+// node's expiry clock.
 //
-// A frame may sit in a socket buffer while this node is paused; its contents
-// then look fresh. The peer echoes a probe of this node's expiry clock and
-// stamps the echo with its own monotonic clock: at that stamp, this node's
-// clock stood at the probe or later. So a frame stamped s was sent no earlier
-// than probe + (s − stamp), and its age follows without comparing wall clocks.
+// A frame may stay in a socket buffer while this node is paused, and its contents then
+// look more recent than they are. The peer therefore echoes a probe that holds this
+// node's expiry clock, and stamps the echo with its own monotonic clock. When the peer
+// wrote the stamp, this node's clock read the probe's value or later. A frame with
+// stamp s was thus sent no earlier than probe + (s − stamp) by this node's clock, which
+// gives an upper bound of its age without comparing wall clocks.
 type offsets struct {
 	known bool
-	// bound is probe − stamp of the best echo, taken at probe.
+	// lowerBound is probe − stamp of the best echo so far, measuredAt the local time at
+	// which that echo was processed.
 	bound time.Duration
 	taken time.Duration
 }
 
-// echo takes in an echoed probe.
+// update applies an echoed probe: it replaces the bound if the new one is tighter.
 func (o *offsets) echo(now, probe, stamp time.Duration) {
 	bound := probe - stamp
 	if !o.known || bound > o.aged(now) {
@@ -410,6 +423,8 @@
 	}
 }
 
+// lowerBoundAt returns the bound, reduced by the drift that is possible since it was
+// measured.
 func (o *offsets) aged(now time.Duration) time.Duration {
 	drift := time.Duration((now - o.taken).Seconds() * float64(clockDrift))
 	return o.bound - drift
--- a/io/peer/handshake.go
+++ b/io/peer/handshake.go
@@ -11,7 +11,7 @@
 	"coltsfootward/io/socket"
 )
 
-// welcome answers the dialler's hello.
+// serverHandshake exchanges hello frames on an accepted connection.
 func (t *Transport) welcome(n net.Conn) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
@@ -41,10 +41,10 @@
 
 func checkVersion(h hello) error {
 	if h.Version != ProtocolVersion {
-		return &FrameError{Reason: fmt.Sprintf("protocol version %d, this node speaks %d", h.Version, ProtocolVersion)}
+		return &FrameError{Reason: fmt.Sprintf("protocol version %d, this node has %d", h.Version, ProtocolVersion)}
 	}
 	if h.Instance.ID == "" {
-		return &FrameError{Reason: "hello without an instance"}
+		return &FrameError{Reason: "hello without an instance ID"}
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 		return h, err
 	}
 	if f.Kind != frameHello {
-		return h, &FrameError{Reason: "first frame is no hello"}
+		return h, &FrameError{Reason: "the first frame is not a hello"}
 	}
 	return h, decode(f.Payload, &h)
 }
@@ -89,6 +89,8 @@
 	return c, reader, nil
 }
 
+// clientHandshake exchanges hello frames on a dialled connection and checks that the
+// intended instance answers.
 func (t *Transport) greet(n net.Conn, to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
@@ -105,9 +107,10 @@
 		return nil, nil, err
 	}
 	if theirs.Instance.ID != to.ID {
-		return nil, nil, &FrameError{Reason: fmt.Sprintf("dialled %s, reached %s", to.ID, theirs.Instance.ID)}
+		return nil, nil, &FrameError{Reason: fmt.Sprintf("dialled instance %s, reached %s", to.ID, theirs.Instance.ID)}
 	}
 	c := t.established(n, theirs)
-	// The echo goes first, so that the peer can bound the age of all that follows.
+	// The echo is the first frame after the hello, so that the peer can bound the age
+	// of all frames that follow.
 	return c, reader, c.sendValue(framePong, 0, &probe{Probe: theirs.Probe})
 }
--- a/io/peer/hostile_test.go
+++ b/io/peer/hostile_test.go
@@ -39,8 +39,8 @@
 	return length[:]
 }
 
-// A broken or hostile program connects to a node's port for peers. The node
-// must refuse what it sends, close that connection, and lose nothing else.
+// A faulty or hostile program connects to a node's port for peers. The node must reject
+// the bytes, close that connection, and keep all other connections.
 func TestHostileBytesCloseOnlyTheirConnection(t *testing.T) {
 	end := peer.EncodeFrame(peer.NewFrame("end", 1, peer.Encode(&message.ResponseEnd{})))
 	good := helloFrame(peer.ProtocolVersion)
@@ -68,7 +68,7 @@
 			c := dialRaw(t, p)
 			for _, bytes := range test.sent {
 				if _, err := c.Write(bytes); err != nil {
-					break // closed already
+					break // the node has closed the connection
 				}
 			}
 			if err := c.SetReadDeadline(time.Now().Add(wait)); err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// A peer opens calls without end and never finishes one. Beyond the bound each
-// further call is refused; those within it, and other peers' calls, go on.
+// A peer keeps opening calls and never finishes one. Each call beyond the limit must be
+// refused. The calls within the limit and those of other peers must continue.
 func TestTooManyOpenCallsAreRefused(t *testing.T) {
 	p := newPair(t, holdOrAnswer)
 	c := dialRaw(t, p)
@@ -116,7 +116,7 @@
 			t.Fatal(err)
 		}
 		if f.Stream != peer.MaximumStreams+1 || head.Refusal == nil || head.Refusal.Execution != coltsfootward.ExecutionNotRun {
-			t.Errorf("got answer %+v for call %d, want a refusal for call %d", head, f.Stream, peer.MaximumStreams+1)
+			t.Errorf("got response %+v for call %d, want a refusal for call %d", head, f.Stream, peer.MaximumStreams+1)
 		}
 		break
 	}
@@ -125,7 +125,8 @@
 	}
 }
 
-// holdOrAnswer keeps calls to /hold open until their connection breaks.
+// holdOrAnswer keeps calls to /hold open until they are aborted or their connection
+// fails, and responds to all others.
 func holdOrAnswer(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 	if call.Head.Path == "/hold" {
 		<-ctx.Done()
@@ -148,7 +149,7 @@
 	t.Helper()
 	for end := time.Now().Add(wait); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("gave up waiting")
+			t.Fatal("timed out waiting")
 		}
 	}
 }
@@ -180,7 +181,7 @@
 		f.Add(data)
 	}
 	f.Add(peer.Encode(&message.Call{Path: "/", Header: map[string][]string{"A": {"b"}}}))
-	f.Add([]byte("\x82\xdb\x7fni\xa7\x050")) // a text of two gigabytes, cut off
+	f.Add([]byte("\x82\xdb\x7fni\xa7\x050")) // a string of two gigabytes, truncated
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x82, 0xa4, 'k', 'i', 'n', 'd', 0xdb, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -192,8 +193,8 @@
 	})
 }
 
-// checkTyped wants every error on hostile bytes to be a *peer.FrameError, but
-// for the end of the bytes at a frame's border.
+// checkTyped checks that every error on hostile bytes is a *peer.FrameError, except for
+// io.EOF between two frames.
 func checkTyped(t *testing.T, err error) {
 	t.Helper()
 	var invalid *peer.FrameError
--- a/io/peer/probe_test.go
+++ b/io/peer/probe_test.go
@@ -10,7 +10,7 @@
 	"coltsfootward/io/peer"
 )
 
-// nextKind returns the kind of the next frame, or "" if none comes within d.
+// nextKind returns the kind of the next frame, or "" if none arrives within d.
 func nextKind(t *testing.T, c net.Conn, r *bufio.Reader, d time.Duration) string {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
@@ -23,8 +23,9 @@
 	return string(f.Kind)
 }
 
-// Guards against a node among hundreds that spends its time on probing the clocks of
-// silent peers.
+// In a fleet of hundreds, a node that probed the clocks of all peers would spend most of
+// its CPU time on probes of silent ones. Only peers that have sent a call or message
+// since the last probe may be probed.
 func TestSilentPeerIsNotProbed(t *testing.T) {
 	const silence = 200 * time.Millisecond
 	p := newPair(t, holdOrAnswer)
--- a/io/peer/shutdown.go
+++ b/io/peer/shutdown.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// goodbyeInterval is the time between two looks at who has answered a goodbye.
+// goodbyePollInterval is the time between two checks for acknowledged goodbyes.
 const goodbyeInterval = 2 * time.Millisecond
 
-// takeLeave tells every peer goodbye and waits until each has promised to send
-// no further call, or for finishTimeout. The handler must go on answering
-// meanwhile.
+// announceShutdown sends every peer a goodbye and waits until each has acknowledged
+// that it sends no further call, or until finishTimeout has passed. The handler must
+// continue to serve calls meanwhile.
 //
-// A call that crosses the close of a connection ends in doubt, although it
-// never ran. So each peer is told goodbye first. It opens no further call on
-// the connection, which is certain not to run then, and says so behind the
-// last one that it sent: what has to be answered is then known.
+// If a connection were closed without notice, a call sent at the same time would end
+// with an unknown outcome, although it was never executed. After a goodbye, the peer
+// opens no further calls on the connection, so that those are known not to be
+// executed, and it queues the acknowledgement behind the last call that it sent. Once
+// the acknowledgement has arrived, this node has received every call that it has to
+// answer.
 func (t *Transport) takeLeave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
@@ -31,8 +33,9 @@
 	}
 }
 
-// allAcknowledged says goodbye to those who have not been told, since
-// connections whose handshake was under way appear later.
+// sendGoodbyes sends the goodbyes that are missing and reports whether every peer has
+// acknowledged its goodbye. It is called repeatedly, because connections whose
+// handshake was in progress are added later.
 func (t *Transport) allAcknowledged() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,8 +46,8 @@
 	return all
 }
 
-// sayGoodbye queues the goodbye once and reports whether it was acknowledged. A
-// full ring is tried again later.
+// sendGoodbye queues the goodbye once and reports whether the peer has acknowledged
+// it. If the write queue is full, the next call tries again.
 func (c *connection) sayGoodbye() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,8 +57,8 @@
 	return c.acknowledged
 }
 
-// takeGoodbye handles the peer's goodbye. The promise is queued while no call
-// is being opened, so that it stands behind every call that was.
+// handleGoodbye handles the peer's goodbye. The acknowledgement is queued under
+// openLock, so that it follows every call that was opened before.
 func (c *connection) takeGoodbye() {
 	c.mu.Lock()
 	c.leaving = true
@@ -67,7 +70,7 @@
 			return
 		}
 		defer func() { <-c.opening }()
-		_ = c.send(context.Background(), frameNoMoreCalls, 0, nil) // a closed connection promises the same
+		_ = c.send(context.Background(), frameNoMoreCalls, 0, nil) // a closed connection carries no further calls either
 	}()
 }
 
--- a/io/peer/shutdown_test.go
+++ b/io/peer/shutdown_test.go
@@ -14,11 +14,11 @@
 	"coltsfootward/io/peer"
 )
 
-// A node is replaced under steady traffic. Some callers at its peers are told
-// "unknown" for orders that never ran, or lose an answer that was complete:
-// their calls crossed the close of the connection, or the answer's end was
-// queued and dropped with it. Every call must be answered whole, or known not
-// to have been sent.
+// A node is replaced under steady traffic. Some callers at its peers received the outcome
+// "unknown" for orders that were never executed, because their calls were sent while the
+// connection was being closed. Others lost a complete response, because its end frame
+// was still queued when the connection was closed. Every call must get a complete
+// response, or be known not to have been sent.
 func TestShutdownCutsOffNoCall(t *testing.T) {
 	for round := range 20 {
 		north, _ := newTransport(t, "north-1")
@@ -34,7 +34,7 @@
 					var failed *peer.CallError
 					if errors.As(err, &failed) {
 						if failed.Sent {
-							t.Errorf("round %d, call %s: got %v, want an answer or a call that was not sent", round, path, err)
+							t.Errorf("round %d, call %s: got %v, want a response or a call that was not sent", round, path, err)
 						}
 						return
 					}
--- a/io/peer/stream.go
+++ b/io/peer/stream.go
@@ -10,51 +10,54 @@
 	"coltsfootward/core/message"
 )
 
-// ErrTruncated is returned by a body's reader when the answer or request broke
-// off before its end. What was read so far is not whole.
-var ErrTruncated = errors.New("peer: body broke off before its end: do not use what was read as whole")
+// ErrTruncated is returned by a body's reader when the request or response was
+// aborted before its end. The part that was read so far is incomplete.
+var ErrTruncated = errors.New("peer: body truncated: do not use the part that was read as the complete body")
 
-// stream is one call on a connection, seen from either side.
+// stream is the state of one call on a connection, on the calling or the serving side.
 type stream struct {
 	connection *connection
 	id         uint32
-	// departure says whether a byte of the call may have left this node.
+	// sendState tells whether a byte of the call may have been sent; see sendQueued.
 	departure atomic.Int32
-	// head receives the answer's head, on the side that opened the call.
+	// head receives the head of the response, on the calling side.
 	head chan message.Response
-	// chunks receives the body. Its size is the window, so a peer that keeps
-	// to the window never finds it full.
+	// chunks receives the body. Its capacity is the flow-control window, so it is
+	// never full for a peer that observes the window.
 	chunks chan []byte
 	// credits holds a token for each chunk that may be sent.
 	credits chan struct{}
-	// done is closed when the call has ended for either side.
+	// done is closed when the call has been cancelled, reset or finished by either side.
 	done chan struct{}
 	once sync.Once
-	// left is called then, on the side that serves the call; nil for none.
+	// cancelServing is called when done is closed, on the serving side; it may be nil.
 	left context.CancelFunc
-	// ended is closed when the peer's end frame arrived.
+	// endReceived is closed when the peer's end frame has arrived.
 	ended chan struct{}
-	// endTaken is set by the first end frame.
+	// hasEnd is set by the first end frame, to detect a second one.
 	endTaken atomic.Bool
 	end      message.ResponseEnd
 	err      error
 	rest     []byte
 }
 
-// The states of a call's departure. It leaves queued once, either way: the
-// writer begins it, or its caller withdraws it and the writer leaves it out.
+// The values of stream.sendState. The state changes once, from sendQueued to either
+// sendBegun, by the writer, or sendWithdrawn, by a caller that gives up; the writer then
+// skips the call's frame.
 const (
 	departureQueued int32 = iota
 	departureBegun
 	departureWithdrawn
 )
 
-// begin is called before the first byte may leave; false means not to send.
+// beginSend is called before the first byte is written. It returns false if the call
+// was withdrawn and must not be sent.
 func (s *stream) begin() bool {
 	return s.departure.CompareAndSwap(departureQueued, departureBegun)
 }
 
-// withdraw reports whether no byte of the call has left nor ever will.
+// withdraw prevents the call from being sent. It returns false if sending has begun, so
+// that the peer may have received the call.
 func (s *stream) withdraw() bool {
 	return s.departure.CompareAndSwap(departureQueued, departureWithdrawn)
 }
@@ -75,7 +78,7 @@
 	return s
 }
 
-// fail ends the call with err. Only the first end counts.
+// fail ends the call with err. Only the first call of fail has an effect.
 func (s *stream) fail(err error) {
 	s.once.Do(func() {
 		s.err = err
@@ -86,7 +89,8 @@
 	})
 }
 
-// take handles a frame from the peer. An error closes the connection.
+// handleFrame handles a frame from the peer. The caller closes the connection on an
+// error.
 func (s *stream) take(f frame) error {
 	switch f.Kind {
 	case frameAnswer:
@@ -121,12 +125,12 @@
 	case s.head <- head:
 		return nil
 	default:
-		return &FrameError{Reason: "second answer to one call"}
+		return &FrameError{Reason: "second response to one call"}
 	}
 }
 
-// takeWhole takes an answer with its body and end. The head goes last, so that
-// whoever waits for it finds the rest.
+// handleCompleteResponse handles a response in one frame. The head is delivered last,
+// so that body and end are available to the goroutine that waits for the head.
 func (s *stream) takeWhole(payload []byte) error {
 	var whole wholeAnswer
 	if err := decode(payload, &whole); err != nil {
@@ -146,14 +150,14 @@
 func (s *stream) takeChunk(payload []byte) error {
 	select {
 	case <-s.ended:
-		return &FrameError{Reason: "body after its end"}
+		return &FrameError{Reason: "body chunk after the end frame"}
 	default:
 	}
 	select {
 	case s.chunks <- payload:
 		return nil
 	default:
-		return &FrameError{Reason: "body beyond its window"}
+		return &FrameError{Reason: "body chunk beyond the flow-control window"}
 	}
 }
 
@@ -162,7 +166,7 @@
 	case s.credits <- struct{}{}:
 		return nil
 	default:
-		return &FrameError{Reason: "credit beyond the window"}
+		return &FrameError{Reason: "credit beyond the flow-control window"}
 	}
 }
 
@@ -174,10 +178,10 @@
 	return s.finish(end)
 }
 
-// finish notes that the peer's body is whole.
+// setEnd records that the peer's body is complete.
 func (s *stream) finish(end message.ResponseEnd) error {
 	if s.endTaken.Swap(true) {
-		return &FrameError{Reason: "second end of one body"}
+		return &FrameError{Reason: "second end frame for one body"}
 	}
 	s.end = end
 	close(s.ended)
@@ -215,8 +219,9 @@
 	}
 }
 
-// chunkOr returns what arrived before the call ended. An answer that is whole
-// stays whole when the connection closes behind it.
+// chunkOrError returns a chunk that arrived before the call ended, else io.EOF if the
+// body is complete, else err. A complete response thus stays readable after the
+// connection has closed.
 func (s *stream) chunkOr(err error) ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
@@ -231,7 +236,8 @@
 	}
 }
 
-// lastChunk drains what arrived before the end frame.
+// remainingChunk returns a chunk that arrived before the end frame, or io.EOF if all
+// were read.
 func (s *stream) lastChunk() ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
@@ -241,22 +247,22 @@
 	}
 }
 
-// consumed tells the peer that it may send another chunk, unless it has sent the
-// last one: most bodies are a single chunk, and the frame would wake the peer for
-// nothing.
+// sendCredit allows the peer to send another chunk, and returns the given one. It sends
+// no credit if the peer has sent its last chunk: most bodies are a single chunk, and
+// the credit would wake up the peer for nothing.
 func (s *stream) consumed(chunk []byte) ([]byte, error) {
 	select {
 	case <-s.ended:
 		return chunk, nil
 	default:
 	}
-	// The chunk is intact whatever becomes of the credit; a break shows at the
-	// next read.
+	// The chunk is valid even if the credit cannot be sent; the next read then returns
+	// the connection's error.
 	_ = s.connection.send(context.Background(), frameCredit, s.id, nil)
 	return chunk, nil
 }
 
-// write sends a body as far as the peer's window allows and waits for more.
+// write sends a body in chunks. It blocks while the flow-control window is full.
 func (s *stream) write(ctx context.Context, p []byte) (int, error) {
 	written := 0
 	for len(p) > 0 {
--- a/io/peer/timed.go
+++ b/io/peer/timed.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// timedConn bounds every write, so that a peer that stops reading cannot hold
-// the writer for ever.
+// writeDeadlineConn sets a deadline of writeTimeout for every write, so that a peer that
+// stops reading cannot block the writer goroutine forever.
 type timedConn struct{ net.Conn }
 
-// CloseWrite ends the sending direction where the connection can.
+// CloseWrite closes the sending direction. It returns errors.ErrUnsupported if the
+// underlying connection cannot do that.
 func (c *timedConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -16,45 +16,49 @@
 
 const (
 	handshakeTimeout = 3 * time.Second
-	// dialTimeout bounds the making of a connection. A peer that is cut off does
-	// not answer at all, and whoever waits for it could go elsewhere; it is well
-	// above a round trip between failure domains and one lost packet.
+	// dialTimeout limits the time to establish a connection. A peer behind a network
+	// partition does not respond at all, and the waiting request could be sent to another
+	// instance instead. The limit is well above a round trip between failure domains
+	// plus the retransmission of one lost packet.
 	dialTimeout = 1500 * time.Millisecond
 	// probeInterval is the time between two probes of a peer's clock.
 	probeInterval = 10 * time.Second
-	// idleTimeout closes dialled connections that nothing uses, so that a node
-	// holds connections only to those it talks to.
+	// idleTimeout is the time after which a dialled connection that is not used is
+	// closed, so that a node holds connections only to the peers that it sends to.
 	idleTimeout = 2 * time.Minute
-	// finishTimeout bounds how long a node that leaves waits for its peers to
-	// close their side; one that was cut off never does.
+	// finishTimeout limits how long a node that shuts down waits for its peers to
+	// acknowledge the goodbye, and then to close their side. A partitioned peer never
+	// does.
 	finishTimeout = 5 * time.Second
-	// writeTimeout bounds a write to a peer that no longer reads.
+	// writeTimeout limits a write to a peer that no longer reads.
 	writeTimeout = 15 * time.Second
 )
 
-// Handler takes what peers send. Its methods are called from the connection's
-// reader and must not block, except for ServeCall, which has a goroutine of
-// its own.
+// Handler handles calls, messages and events of the connections with peers. Its methods
+// are called on the connection's reader goroutine and must not block, except for
+// ServeCall, which runs in a goroutine of its own.
 type Handler interface {
-	// ServeCall answers a call through w. The call's context ends when the
-	// caller leaves or the connection breaks.
+	// ServeCall serves a call and writes the response to w. ctx is cancelled when the
+	// peer aborts the call or the connection fails.
 	ServeCall(ctx context.Context, call IncomingCall, w *AnswerWriter)
-	// ServeMessage takes a message.
+	// ServeMessage handles a message. age is an upper bound of the time since the peer
+	// sent it.
 	ServeMessage(from coltsfootward.Instance, m message.Message, age time.Duration)
-	// PeerConnected and PeerLost tell of connections that peers or this node dialled.
+	// PeerConnected and PeerLost report that a connection was established or closed,
+	// whichever side dialled it.
 	PeerConnected(peer coltsfootward.Instance)
 	PeerLost(peer coltsfootward.Instance)
-	// FrameRejected tells of bytes that were no valid frame.
+	// FrameRejected reports that the remote address sent bytes that are not a valid frame.
 	FrameRejected(address string, err error)
 }
 
-// IncomingCall is a call that a peer sent.
+// IncomingCall is a call received from a peer.
 type IncomingCall struct {
 	From coltsfootward.Instance
 	Head message.Call
-	// Age is an upper bound of the time since the peer sent it.
+	// Age is an upper bound of the time since the peer sent the call.
 	Age time.Duration
-	// Body is the request's body; it ends with io.EOF only if it is whole.
+	// Body is the request's body. It returns io.EOF only after the complete body.
 	Body io.Reader
 }
 
@@ -66,29 +70,30 @@
 	handler Handler
 	once    sync.Once
 	wait    sync.WaitGroup
-	// ending is done once the transport is closed: what is under way on the network
-	// ends with it.
+	// closing is cancelled when the transport is closed, which aborts pending dials and
+	// handshakes.
 	ending context.Context
 	end    context.CancelFunc
-	// calls serves the calls of peers.
+	// calls runs the goroutines that serve the calls of peers.
 	calls *worker.Pool
 
 	mu       sync.Mutex
 	listener net.Listener
 	dialled  map[coltsfootward.InstanceID]*dialled
 	accepted map[*connection]struct{}
-	// outbound holds every connection that this node dialled, also those that
-	// a newer one to the same peer has replaced.
+	// outbound holds every connection that this node dialled, including those that were
+	// replaced by a newer one to the same peer.
 	outbound map[*connection]struct{}
 	closed   bool
-	// serving counts the calls being served; whenIdle is closed when it reaches
-	// zero. New calls may come while a stop waits, so it is no WaitGroup.
+	// serving is the number of calls being served; whenIdle is closed when it reaches
+	// zero. They are not a sync.WaitGroup because new calls may arrive while Shutdown
+	// waits.
 	serving  int
 	whenIdle chan struct{}
 }
 
-// NewTransport returns a transport that serves peers on listener, if it is not
-// nil, until Close.
+// NewTransport returns a transport that serves peers on listener until Close. If
+// listener is nil, the transport only dials.
 func NewTransport(self coltsfootward.Instance, clock func() coltsfootward.Instant, handler Handler, listener net.Listener) *Transport {
 	t := &Transport{
 		self:     self,
@@ -108,7 +113,7 @@
 	return t
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes the listener and all connections and waits for their goroutines.
 func (t *Transport) Close() {
 	t.once.Do(func() {
 		t.mu.Lock()
@@ -126,11 +131,11 @@
 	t.calls.Close()
 }
 
-// Shutdown tells every peer goodbye, waits until the calls being served have
-// been answered and all that was queued for peers has been taken in by them, or
-// until ctx ends. Call it before Close for a stop that cuts off no answer: the
-// last bytes of one may still be on their way to the writer when the machine
-// has nothing left to do.
+// Shutdown announces the shutdown to every peer, waits until the calls being served
+// have been answered, and waits until the peers have received everything that was
+// queued for them, or until ctx ends. Call it before Close for a stop that truncates no
+// response: the last bytes of a response may still be in a write queue when the node's
+// state machine has finished all requests.
 func (t *Transport) Shutdown(ctx context.Context) {
 	t.takeLeave(ctx)
 	select {
@@ -169,7 +174,7 @@
 	}
 }
 
-// serve runs an accepted connection.
+// serveConnection runs an accepted connection until it closes.
 func (t *Transport) serve(n net.Conn) {
 	release := t.closeAtEnd(n)
 	c, reader, err := t.welcome(n)
@@ -199,8 +204,8 @@
 	t.read(c, reader)
 }
 
-// closeAtEnd has a connection whose peer has not said hello yet end with the
-// transport, until the function that it returns is called.
+// closeWithTransport closes a connection when the transport closes, until release is
+// called. It covers the handshake, during which the connection is not registered yet.
 func (t *Transport) closeAtEnd(n net.Conn) (release func()) {
 	stop := context.AfterFunc(t.ending, func() { n.Close() })
 	return func() { stop() }
@@ -213,7 +218,7 @@
 	}
 }
 
-// read runs until the connection breaks.
+// readLoop reads and handles frames until the connection fails.
 func (t *Transport) read(c *connection, reader *bufio.Reader) {
 	frames := newFrameReader(reader)
 	for {
@@ -315,9 +320,8 @@
 	return idle
 }
 
-// refuseCall answers a call beyond the bound on open calls. It is sent by the
-// reader, which must not wait: a peer that fills the ring as well loses the
-// connection.
+// refuseCall refuses a call beyond maximumStreams. It runs on the reader goroutine,
+// which must not block: if the write queue is full as well, the connection is closed.
 func (t *Transport) refuseCall(c *connection, id uint32) error {
 	refusal := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "too many calls are open on one connection").
 		WithRetryAfter(time.Second)
@@ -330,13 +334,13 @@
 		return err
 	}
 	if !c.trySendStream(frameAnswer, id, head) || !c.trySendStream(frameEnd, id, end) {
-		return &FrameError{Reason: "calls beyond the bound on open calls"}
+		return &FrameError{Reason: "calls beyond the limit on open calls"}
 	}
 	return nil
 }
 
-// maintain probes the clocks of those who dialled this node and closes idle
-// connections that it dialled itself.
+// maintain periodically probes the clocks of the peers that dialled this node and
+// closes idle connections that this node dialled.
 func (t *Transport) maintain() {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -351,9 +355,10 @@
 	}
 }
 
-// probeAll probes those whose clock has been gone by since the last probe. The
-// others' is known well enough for their next frame, and a probe of each of hundreds
-// of silent connections would be most of what a node does.
+// probeActivePeers probes the clocks of the peers that have sent a call or message since
+// the last probe. The clock offset of the others is known well enough for their next
+// frame, and with hundreds of silent connections the probes would be most of a node's
+// work.
 func (t *Transport) probeAll() {
 	payload, err := encode(&probe{Probe: int64(t.clock().Expiry)})
 	if err != nil {
@@ -380,8 +385,8 @@
 }
 
 // start runs f in a goroutine that Close waits for. It returns false once the
-// transport is closed: the loop may send until it is closed itself, and a
-// goroutine begun while Close waits would escape it.
+// transport is closed: the node's event loop may still call Send then, and Close would
+// not wait for a goroutine that is started while it already waits.
 func (t *Transport) start(f func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -22,10 +22,10 @@
 	"go.uber.org/goleak"
 )
 
-// wait is how long tests wait for what must come.
+// wait is the time after which a test that waits for an event fails.
 const wait = 30 * time.Second
 
-// handler serves calls by a function and keeps what was rejected.
+// handler serves calls by a function and records served requests and rejected frames.
 type handler struct {
 	serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)
 
@@ -66,7 +66,7 @@
 	return append([]error(nil), h.rejected...)
 }
 
-// breakable is a listener whose connections a test can stall and break.
+// faultyListener is a listener whose connections a test can stall and close.
 type breakable struct {
 	net.Listener
 	mu      sync.Mutex
@@ -85,7 +85,7 @@
 	return &stalling{TCPConn: c.(*net.TCPConn), listener: l}, nil
 }
 
-// stall makes reads wait until the returned function is called.
+// stall blocks all reads until the returned function is called.
 func (l *breakable) stall() func() {
 	stalled := make(chan struct{})
 	l.mu.Lock()
@@ -123,7 +123,7 @@
 	return c.TCPConn.Read(p)
 }
 
-// pair is a transport that calls and one that serves.
+// pair is a client transport that sends calls and a server transport that serves them.
 type pair struct {
 	client, server *peer.Transport
 	instance       coltsfootward.Instance
@@ -148,7 +148,8 @@
 	return p
 }
 
-// body is the answer that a path stands for; its length varies up to several windows.
+// body returns the response body for a path. Its length depends on the path and is up to
+// several flow-control windows.
 func body(path string) []byte {
 	seed := uint64(len(path))
 	for _, r := range path {
@@ -161,8 +162,8 @@
 	return bytes.Repeat([]byte(path+"|"), size/(len(path)+1)+1)
 }
 
-// answerBody serves the body that the path stands for, after a random time,
-// and echoes the request's body in front.
+// answerBody responds after a random time with the request's body followed by the body
+// for the path.
 func answerBody(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 	sent, err := io.ReadAll(call.Body)
 	if err != nil {
@@ -182,9 +183,10 @@
 	_ = w.End(message.ResponseEnd{Attempts: 1})
 }
 
-// Hundreds of calls share one connection. Answers come late and out of order,
-// callers leave half-way, the connection breaks and is made anew. A caller that
-// got another's answer, or a truncated one as whole, would act on a wrong quote.
+// Hundreds of calls share one connection. Responses arrive late and out of order, callers
+// cancel calls in the middle, and the connection fails and is dialled again. A caller
+// that received the response to another call, or a truncated response as a complete
+// one, would act on a wrong quote.
 func TestManyCallsGetTheirOwnWholeAnswers(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	p := newPair(t, answerBody)
@@ -223,14 +225,15 @@
 	close(done)
 	breaker.Wait()
 	if whole.Load() == 0 {
-		t.Error("no answer was whole")
+		t.Error("no response was complete")
 	}
-	t.Logf("%d answers whole, %d broke off", whole.Load(), broken.Load())
+	t.Logf("%d complete responses, %d failed calls", whole.Load(), broken.Load())
 }
 
-var errBroken = errors.New("call broke off")
+var errBroken = errors.New("call failed")
 
-// check makes one call and compares its answer, if whole, with its own.
+// check makes one call and compares the response, if complete, with the expected one. It
+// returns errCallFailed if there is no complete response.
 func (p *pair) check(path string, leave bool) error {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -248,14 +251,15 @@
 		return errBroken
 	}
 	if want := append(sent, body(path)...); !bytes.Equal(got, want) {
-		return fmt.Errorf("%s: got a whole answer of %d bytes that is not its own, want %d bytes", path, len(got), len(want))
+		return fmt.Errorf("%s: got a complete response of %d bytes that is not the expected one of %d bytes", path, len(got), len(want))
 	}
 	return nil
 }
 
-// A call waits behind others for a peer that does not read, and its caller
-// gives up. Told "not sent", the entry node tries elsewhere or says "not run";
-// then the peer reads on and the call runs after all.
+// A call is queued behind others for a peer that does not read, and its caller gives up.
+// Since Call reports that the call was not sent, the entry node retries it at another
+// instance or responds "not run". When the peer then resumes reading, the call must not
+// be executed after all.
 func TestCallGivenUpInTheRingNeverLeaves(t *testing.T) {
 	p := newPair(t, answerBody)
 	if err := p.check("/first", false); err != nil {
@@ -266,7 +270,7 @@
 	for range 3000 {
 		big.Changes = append(big.Changes, coltsfootward.Change{Service: &coltsfootward.Service{Name: coltsfootward.ServiceName(strings.Repeat("s", 200))}})
 	}
-	for range 40 { // more than the sockets' buffers hold
+	for range 40 { // more than the socket buffers can hold
 		p.client.Send(p.instance, big)
 	}
 	var failed *peer.CallError
@@ -278,7 +282,7 @@
 			t.Fatalf("call %d: got %v, want a *peer.CallError", i, err)
 		}
 		if failed.Sent {
-			t.Fatalf("call %d: the connection's buffers took it; send more before", i)
+			t.Fatalf("call %d: it was written to the socket buffers; the test must fill them with more messages first", i)
 		}
 	}
 	release()
@@ -287,13 +291,14 @@
 	}
 	for i := range 20 {
 		if got := p.handler.count(coltsfootward.RequestID(fmt.Sprint(i))); got != 0 {
-			t.Errorf("call %d was given up unsent and ran %d times", i, got)
+			t.Errorf("call %d was cancelled before it was sent and ran %d times", i, got)
 		}
 	}
 }
 
-// A caller on a bad line reads a large download slowly. Were the connection's
-// reader to wait for it, every other call to that peer would stand still.
+// A caller with a slow network connection reads a large download slowly. If the peer
+// connection's reader goroutine waited for that caller, every other call to the peer
+// would stall.
 func TestSlowReaderStallsNoOtherCall(t *testing.T) {
 	p := newPair(t, func(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 		if call.Head.Path != "/endless" {
@@ -316,15 +321,15 @@
 	}
 	for i := range 50 {
 		if err := p.check(fmt.Sprintf("/%d", i), false); err != nil {
-			t.Fatalf("call %d beside slow readers: %v", i, err)
+			t.Fatalf("call %d with concurrent slow readers: %v", i, err)
 		}
 	}
 }
 
-// A node leaves right after the last answer was queued for its connection. The
-// caller that waits for the end of a download must still get it whole.
+// A node shuts down right after the last response was queued for its connection. The
+// caller that waits for the end of a download must still receive the complete response.
 func TestShutdownDeliversLastAnswer(t *testing.T) {
-	want := bytes.Repeat([]byte("x"), 200<<10) // fits into the window unread
+	want := bytes.Repeat([]byte("x"), 200<<10) // fits into the flow-control window without a read
 	for range 20 {
 		queued := make(chan struct{})
 		p := newPair(t, func(_ context.Context, _ peer.IncomingCall, w *peer.AnswerWriter) {
@@ -344,7 +349,7 @@
 		p.server.Close()
 		got, err := io.ReadAll(answer)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("got %d bytes and error %v, want the whole answer of %d bytes", len(got), err, len(want))
+			t.Fatalf("got %d bytes and error %v, want the complete response of %d bytes", len(got), err, len(want))
 		}
 		answer.Close()
 	}
--- a/io/wire/body.go
+++ b/io/wire/body.go
@@ -6,15 +6,16 @@
 	"sync"
 )
 
-// firstRead is how many bytes of a body are asked for at first. Most requests
-// have no body, and the others' mostly fit.
+// pooledSize is the size in bytes of the pooled buffer that a body is first read into.
+// Most requests have no body, and most other bodies fit.
 const firstRead = 16 << 10
 
-// firstBuffers keeps buffers for reuse.
+// bufferPool holds buffers for reuse.
 var firstBuffers = sync.Pool{New: func() any { return new([firstRead]byte) }}
 
-// ReadBody reads a body of at most that many bytes to its end, and nothing beyond
-// them. A body that is empty costs no memory.
+// ReadBody reads a body up to its end, but at most limit bytes. It returns no error for
+// a longer body, so a caller that wants to detect one passes a limit one byte above
+// the maximum. An empty body allocates no memory.
 func ReadBody(r io.Reader, most int64) ([]byte, error) {
 	pooled := firstBuffers.Get().(*[firstRead]byte)
 	defer firstBuffers.Put(pooled)
@@ -23,8 +24,8 @@
 	for n < len(pooled) {
 		read, err := limited.Read(pooled[n:])
 		n += read
-		// A body that breaks off may end with io.ErrUnexpectedEOF; only io.EOF
-		// says that it is whole.
+		// A truncated body may end with io.ErrUnexpectedEOF; only io.EOF means that the
+		// body is complete.
 		if errors.Is(err, io.EOF) {
 			return append([]byte(nil), pooled[:n]...), nil
 		}
--- a/io/wire/body_test.go
+++ b/io/wire/body_test.go
@@ -15,22 +15,22 @@
 		want := bytes.Repeat([]byte{'x'}, size)
 		got, err := wire.ReadBody(bytes.NewReader(want), 1<<20)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%d bytes: got %d and %v, want all of them", size, len(got), err)
+			t.Errorf("%d bytes: got %d bytes and %v, want all of them", size, len(got), err)
 		}
 		if got, err := wire.ReadBody(iotest.OneByteReader(bytes.NewReader(want)), 10); err != nil || len(got) != min(size, 10) {
-			t.Errorf("%d bytes of which 10 are to be read: got %d and %v", size, len(got), err)
+			t.Errorf("%d bytes with a limit of 10: got %d bytes and %v", size, len(got), err)
 		}
 	}
 }
 
-// A caller leaves in the middle of its order's body. Taken for the whole body, the
-// part that arrived would be sent on as another order.
+// A caller disconnects while it sends the body of an order. If the part that arrived
+// were taken for the complete body, a different order would be forwarded.
 func TestReadBodyThatBreaksOff(t *testing.T) {
 	for _, err := range []error{io.ErrClosedPipe, io.ErrUnexpectedEOF} {
 		for _, size := range []int{0, 5, 20 << 10} {
 			broken := io.MultiReader(bytes.NewReader(make([]byte, size)), iotest.ErrReader(err))
 			if _, got := wire.ReadBody(broken, 1<<20); !errors.Is(got, err) {
-				t.Errorf("%d bytes and %v: got error %v", size, err, got)
+				t.Errorf("%d bytes, then %v: got error %v", size, err, got)
 			}
 		}
 	}
--- a/io/wire/limit.go
+++ b/io/wire/limit.go
@@ -5,24 +5,25 @@
 	"io"
 )
 
-// ErrTooLarge is returned by LimitedReader.Read beyond its limit.
+// ErrTooLarge is returned by LimitedReader.Read once the limit is reached.
 var ErrTooLarge = errors.New("wire: header larger than allowed: send a smaller one")
 
-// LimitedReader bounds how much is read from a connection while a header is read.
-// The zero value with a Source has no limit. It is not safe for concurrent use.
+// LimitedReader limits how many bytes are read from a connection while a header is
+// read. Without a call of Bound, it has no limit. It is not safe for concurrent use.
 type LimitedReader struct {
 	Source    io.Reader
 	remaining int64
 	bounded   bool
 }
 
-// Bound has reads fail once more than n bytes were read.
+// Bound limits the bytes that are read from now on to n. Further reads fail with
+// ErrTooLarge.
 func (r *LimitedReader) Bound(n int64) {
 	r.remaining = n
 	r.bounded = true
 }
 
-// Unbound ends the limit.
+// Unbound removes the limit.
 func (r *LimitedReader) Unbound() { r.bounded = false }
 
 // Read implements io.Reader.
--- a/io/wire/wire.go
+++ b/io/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire names the header fields that callers, nodes and backend servers
-// of a routed deployment use. The deployment's platform fills them in, so that
-// the faces know what a field means and not what it is called.
+// Package wire describes the HTTP header fields that callers, nodes and backend servers
+// of a routed deployment use, and reads bodies and headers with limits. The
+// deployment's platform package supplies the names of the fields, so that the HTTP
+// handlers depend only on their meaning.
 package wire
 
 import (
@@ -8,35 +9,35 @@
 	"strings"
 )
 
-// Fields are the names of header fields in canonical form.
+// Fields holds the names of the header fields in canonical form.
 type Fields struct {
-	// Request names the request, in requests and in answers.
+	// Request carries the request ID, in requests and in responses.
 	Request string
-	// Deadline is how many milliseconds are left for the answer.
+	// Deadline carries the remaining time for the response in milliseconds.
 	Deadline string
-	// Stamp marks the answers that a backend server has made.
+	// Stamp marks the responses that a backend server has produced itself.
 	Stamp string
-	// Organisation tells the backend server whom a request is for.
+	// Organisation tells the backend server which organisation a request belongs to.
 	Organisation string
-	// Expected names the backend server that a request is meant for.
+	// Expected identifies the backend server that a request is intended for.
 	Expected string
-	// Backend names the backend server that an answer is from.
+	// Backend identifies the backend server that sent a response.
 	Backend string
-	// Load is a backend server's running and waiting requests and its slots,
-	// separated by commas.
+	// Load carries the numbers of running requests, waiting requests and slots of a
+	// backend server, separated by commas.
 	Load string
-	// NotRun is set in the answers of a backend server that did not run the
-	// request.
+	// NotRun is set in a response if the backend server did not execute the request.
 	NotRun string
-	// Caller is the service beside the node that the request entered at.
+	// Caller carries the service of the backend server at the node where the request
+	// entered.
 	Caller string
-	// Cold is how many milliseconds longer a backend server is cold.
+	// Cold carries the remaining cold period of a backend server in milliseconds.
 	Cold string
 }
 
-// Answers reports whether an answer is a backend server's own to the request of
-// that name. An extra answer on a kept connection bears another name, and a success
-// without the stamp was made by something else.
+// Answers reports whether a response was produced by the backend server for the request
+// with the given ID. A surplus response on a keep-alive connection carries another ID,
+// and a success without the stamp was produced by another program.
 func (f Fields) Answers(request string, status int, h http.Header) bool {
 	if id := h.Get(f.Request); id != "" && id != request {
 		return false
@@ -44,15 +45,15 @@
 	return status < http.StatusOK || status >= http.StatusMultipleChoices || h.Get(f.Stamp) != ""
 }
 
-// hopFields belong to one connection by RFC 9110 and are not passed on. Expect
-// is answered by the node that reads the body.
+// hopByHopFields apply to one connection only (RFC 9110) and are not forwarded. Expect
+// is handled by the node that reads the body.
 var hopFields = map[string]bool{
 	"Expect": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// HopField reports whether a field belongs to one connection by its name or
-// because the header's Connection field names it.
+// HopField reports whether a field is hop-by-hop, either by its name or because the
+// Connection field of h lists it.
 func HopField(h http.Header, name string) bool {
 	if hopFields[name] {
 		return true
@@ -67,9 +68,9 @@
 	return false
 }
 
-// PassedOn returns the fields of a request that go to the backend server: all
-// but those of the connection, the caller's key, and those that nodes set
-// themselves whatever the caller sent.
+// PassedOn returns the header fields of a request that are forwarded to the backend
+// server: all except the hop-by-hop fields, the caller's API key, and the fields that
+// nodes set themselves, whose values from the caller are ignored.
 func (f Fields) PassedOn(h http.Header) map[string][]string {
 	passed := make(map[string][]string, len(h))
 	for name, values := range h {
@@ -81,7 +82,7 @@
 	return passed
 }
 
-// own reports whether nodes set the field themselves.
+// setByNodes reports whether nodes set the field themselves.
 func (f Fields) own(name string) bool {
 	switch name {
 	case f.Deadline, f.Organisation, f.Expected, f.Caller, "Content-Length":
@@ -100,8 +101,8 @@
 	return false
 }
 
-// AnswerFields returns the fields of a backend server's answer that go back to
-// the caller: all but those of the connection and those meant for the node.
+// AnswerFields returns the header fields of a backend server's response that are relayed
+// to the caller: all except the hop-by-hop fields and those meant for the node.
 func (f Fields) AnswerFields(h http.Header) map[string][]string {
 	passed := make(map[string][]string, len(h))
 	for name, values := range h {
