--- a/io/iotest/node.go
+++ b/io/iotest/node.go
@@ -31,14 +31,14 @@
 
 // Table is a fake of the platform's table that several nodes may share.
 type Table struct {
-	mu   sync.Mutex
-	fake *nodetest.Rig
+	mu  sync.Mutex
+	rig *nodetest.Rig
 }
 
 // NewTable returns a table that contains the changes.
 func NewTable(changes ...coltsfootward.Change) *Table {
-	t := &Table{fake: nodetest.New(1)}
-	t.fake.Submit(changes...)
+	t := &Table{rig: nodetest.New(1)}
+	t.rig.Submit(changes...)
 	return t
 }
 
@@ -46,21 +46,21 @@
 func (t *Table) Read(ctx context.Context, key string) (coltsfootward.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fake.Table.Read(ctx, key)
+	return t.rig.Table.Read(ctx, key)
 }
 
 // Scan implements coltsfootward.Table.
 func (t *Table) Scan(ctx context.Context, prefix, after string, limit int) ([]coltsfootward.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fake.Table.Scan(ctx, prefix, after, limit)
+	return t.rig.Table.Scan(ctx, prefix, after, limit)
 }
 
 // Transact implements coltsfootward.Table.
 func (t *Table) Transact(ctx context.Context, transaction coltsfootward.Transaction) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fake.Table.Transact(ctx, transaction)
+	return t.rig.Table.Transact(ctx, transaction)
 }
 
 // Node is a node that runs in the test process.
@@ -96,8 +96,8 @@
 	n := &Node{Instance: options.Self, ready: make(chan struct{})}
 	clock := loop.NewClock()
 	n.Transport = peer.NewTransport(options.Self, clock.Now, n, listener)
-	machine := node.New(options, rand.New(rand.NewPCG(rand.Uint64(), 1)), clock.Now())
-	n.Loop = loop.New(machine, clock, loop.Handlers{
+	core := node.New(options, rand.New(rand.NewPCG(rand.Uint64(), 1)), clock.Now())
+	n.Loop = loop.New(core, clock, loop.Handlers{
 		Send: n.Transport.Send, Table: table, Report: n.report, Drained: func() {},
 	})
 	n.upstream = upstream.New(n.Loop, clock)
@@ -172,11 +172,11 @@
 }
 
 // Until waits until done returns true. It fails the test after Wait.
-func Until(t testing.TB, what string, done func() bool) {
+func Until(t testing.TB, condition string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Wait); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for: %s", what)
+	for deadline := time.Now().Add(Wait); !done(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
--- a/io/peer/call.go
+++ b/io/peer/call.go
@@ -41,7 +41,7 @@
 // End returns the trailer of the response and true once the end frame has arrived.
 func (a *Answer) End() (message.ResponseEnd, bool) {
 	select {
-	case <-a.stream.ended:
+	case <-a.stream.endReceived:
 		return a.stream.end, true
 	default:
 		return message.ResponseEnd{}, false
@@ -49,14 +49,14 @@
 }
 
 // Close ends the call. It sends the peer a reset if the response is incomplete.
-func (a *Answer) Close() { a.stream.leave() }
+func (a *Answer) Close() { a.stream.cancel() }
 
 // cancel removes the call on this side and sends the peer a reset, unless the call
 // has ended already.
-func (s *stream) leave() {
-	s.connection.forget(s.id)
+func (s *stream) cancel() {
+	s.connection.removeStream(s.id)
 	select {
-	case <-s.ended:
+	case <-s.endReceived:
 	case <-s.done:
 	default:
 		s.connection.reset(s.id)
@@ -75,26 +75,27 @@
 	if err != nil {
 		return nil, &CallError{Err: err}
 	}
-	s, err := c.open(ctx, payload)
+	s, err := c.openCall(ctx, payload)
 	if err != nil {
 		return nil, &CallError{Err: err}
 	}
 	c.touch()
-	answer, err := s.call(ctx, body)
+	response, err := s.roundTrip(ctx, body)
 	if err != nil {
 		// The call is withdrawn first: one that still waits in the write queue must
 		// not be sent after Call has reported that it was not.
 		sent := !s.withdraw()
-		s.leave()
+		s.cancel()
 		return nil, &CallError{Sent: sent, Err: err}
 	}
-	return answer, nil
+	return response, nil
 }
 
-func (s *stream) call(ctx context.Context, body []byte) (*Answer, error) {
+// roundTrip sends the body and waits for the head of the response.
+func (s *stream) roundTrip(ctx context.Context, body []byte) (*Answer, error) {
 	written, err := s.startBody(ctx, body)
 	if err != nil {
-		return s.headOr(err)
+		return s.responseOrError(err)
 	}
 	for {
 		select {
@@ -102,11 +103,11 @@
 			return &Answer{Head: head, stream: s}, nil
 		case err := <-written:
 			if err != nil {
-				return s.headOr(err)
+				return s.responseOrError(err)
 			}
 			written = nil
 		case <-s.done:
-			return s.headOr(s.err)
+			return s.responseOrError(s.err)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -127,7 +128,7 @@
 
 // responseOrError returns the response if its head arrived before the call failed,
 // else err.
-func (s *stream) headOr(err error) (*Answer, error) {
+func (s *stream) responseOrError(err error) (*Answer, error) {
 	select {
 	case head := <-s.head:
 		return &Answer{Head: head, stream: s}, nil
@@ -160,7 +161,7 @@
 func (w *AnswerWriter) Whole(head message.Response, body []byte, end message.ResponseEnd) error {
 	if len(body) <= chunkSize {
 		w.ended = true
-		return w.stream.connection.sendValue(frameWhole, w.stream.id, &wholeAnswer{Head: head, Body: body, End: end})
+		return w.stream.connection.sendValue(frameWhole, w.stream.id, &completeResponse{Head: head, Body: body, End: end})
 	}
 	if err := w.Head(head); err != nil {
 		return err
@@ -184,7 +185,7 @@
 // finish ends the call on this side. It resets a response that was not completed,
 // so that the peer cannot mistake it for a complete one.
 func (w *AnswerWriter) finish() {
-	w.stream.connection.forget(w.stream.id)
+	w.stream.connection.removeStream(w.stream.id)
 	if !w.ended {
 		w.stream.connection.reset(w.stream.id)
 	}
--- a/io/peer/close_test.go
+++ b/io/peer/close_test.go
@@ -15,25 +15,25 @@
 
 // A node that was stopped while it dialled an unreachable peer exceeded the grace period
 // for its shutdown, because Close waited for the dial.
-func TestCloseWaitsForNoDial(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+func TestCloseDoesNotWaitForDial(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer listener.Close()
 	north, _ := newTransport(t, "north-1")
-	north.Send(coltsfootward.Instance{ID: "south-1", Address: silent.Addr().String()}, &message.Gossip{})
+	north.Send(coltsfootward.Instance{ID: "south-1", Address: listener.Addr().String()}, &message.Gossip{})
 	time.Sleep(50 * time.Millisecond)
-	begun := time.Now()
+	start := time.Now()
 	north.Close()
-	if took := time.Since(begun); took > closeBound {
-		t.Errorf("Close took %v with a pending dial, want %v at most", took, closeBound)
+	if elapsed := time.Since(start); elapsed > closeBound {
+		t.Errorf("Close took %v with a pending dial, want %v at most", elapsed, closeBound)
 	}
 }
 
 // A node that was stopped while an accepted connection had sent no hello yet exceeded the
 // grace period for its shutdown, because Close waited for the handshake.
-func TestCloseWaitsForNoHello(t *testing.T) {
+func TestCloseDoesNotWaitForHello(t *testing.T) {
 	north, instance := newTransport(t, "north-1")
 	c, err := net.Dial("tcp", instance.Address)
 	if err != nil {
@@ -41,9 +41,9 @@
 	}
 	defer c.Close()
 	time.Sleep(50 * time.Millisecond)
-	begun := time.Now()
+	start := time.Now()
 	north.Close()
-	if took := time.Since(begun); took > closeBound {
-		t.Errorf("Close took %v with a connection that sends nothing, want %v at most", took, closeBound)
+	if elapsed := time.Since(start); elapsed > closeBound {
+		t.Errorf("Close took %v with a connection that sends nothing, want %v at most", elapsed, closeBound)
 	}
 }
--- a/io/peer/concurrent_test.go
+++ b/io/peer/concurrent_test.go
@@ -14,10 +14,10 @@
 	"coltsfootward/io/peer"
 )
 
-// echo responds to each call with the call's path.
-type echo struct{ t *testing.T }
+// echoHandler responds to each call with the call's path.
+type echoHandler struct{ t *testing.T }
 
-func (e *echo) ServeCall(_ context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (e *echoHandler) ServeCall(_ context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 	if _, err := io.Copy(io.Discard, call.Body); err != nil {
 		return
 	}
@@ -29,10 +29,10 @@
 	}
 }
 
-func (e *echo) ServeMessage(coltsfootward.Instance, message.Message, time.Duration) {}
-func (e *echo) PeerConnected(coltsfootward.Instance)                                {}
-func (e *echo) PeerLost(coltsfootward.Instance)                                     {}
-func (e *echo) FrameRejected(address string, err error) {
+func (e *echoHandler) ServeMessage(coltsfootward.Instance, message.Message, time.Duration) {}
+func (e *echoHandler) PeerConnected(coltsfootward.Instance)                                {}
+func (e *echoHandler) PeerLost(coltsfootward.Instance)                                     {}
+func (e *echoHandler) FrameRejected(address string, err error) {
 	e.t.Errorf("got a rejected frame from %s: %v", address, err)
 }
 
@@ -44,7 +44,7 @@
 	}
 	self := coltsfootward.Instance{ID: id, Domain: "north", Address: listener.Addr().String(), Incarnation: 1}
 	start := time.Now()
-	transport := peer.NewTransport(self, func() coltsfootward.Instant { return coltsfootward.At(time.Since(start)) }, &echo{t}, listener)
+	transport := peer.NewTransport(self, func() coltsfootward.Instant { return coltsfootward.At(time.Since(start)) }, &echoHandler{t}, listener)
 	t.Cleanup(transport.Close)
 	return transport, self
 }
@@ -63,13 +63,13 @@
 		wait.Go(func() {
 			for i := range 50 {
 				path := fmt.Sprintf("/%d/%d", caller, i)
-				answer, err := north.Call(ctx, south, message.Call{Path: path}, nil)
+				response, err := north.Call(ctx, south, message.Call{Path: path}, nil)
 				if err != nil {
 					t.Errorf("call %s: got %v, want a response", path, err)
 					return
 				}
-				body, err := io.ReadAll(answer)
-				answer.Close()
+				body, err := io.ReadAll(response)
+				response.Close()
 				if err != nil || string(body) != path {
 					t.Errorf("call %s: got body %q and %v, want the path and no error", path, body, err)
 					return
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -18,13 +18,13 @@
 const (
 	// writeQueueLength is the capacity, in frames, of the queue between the senders
 	// and the connection's writer goroutine.
-	outgoingFrames = 64
+	writeQueueLength = 64
 	// readBufferSize is the size of a connection's read buffer in bytes. Larger frames
 	// bypass it.
-	readBuffer = 2 << 10
+	readBufferSize = 2 << 10
 	// writeBufferSize is the size in bytes of the buffer that a connection borrows from
 	// a pool while it writes.
-	writeBuffer = 16 << 10
+	writeBufferSize = 16 << 10
 )
 
 // errConnectionClosed reports that the connection failed or was closed.
@@ -35,11 +35,11 @@
 var errPeerLeaving = errors.New("peer: the peer is shutting down: the call may be sent to another instance")
 
 // writeRequest is an entry of a connection's write queue: a frame, or a flush.
-type outgoing struct {
+type writeRequest struct {
 	frame frame
 	// beginSend is called before the first byte is written. If it returns false, the
 	// frame is skipped. If it is nil, the frame is always written.
-	begin func() bool
+	beginSend func() bool
 	// flushed, if not nil, is closed once everything queued before has been
 	// written to the socket. Such an entry holds no frame.
 	flushed chan struct{}
@@ -48,46 +48,46 @@
 // connection is one TCP connection with its reader and writer goroutines. Only the
 // writer goroutine writes to the socket; senders append to writeQueue.
 type connection struct {
-	net      net.Conn
-	clock    func() coltsfootward.Instant
-	remote   coltsfootward.Instance
-	outgoing chan outgoing
-	done     chan struct{}
-	once     sync.Once
+	net        net.Conn
+	clock      func() coltsfootward.Instant
+	remote     coltsfootward.Instance
+	writeQueue chan writeRequest
+	done       chan struct{}
+	closeOnce  sync.Once
 	// openLock is held while a call is given its ID and its first frame is queued. It
 	// is a channel so that waiting for it can end with a context.
-	opening chan struct{}
+	openLock chan struct{}
 
 	mu      sync.Mutex
 	streams map[uint32]*stream
-	next    uint32
+	lastID  uint32
 	// peerLeaving is set once a goodbye frame has arrived from the peer.
-	leaving bool
+	peerLeaving bool
 	// goodbyeSent is set once this node has queued its goodbye frame;
 	// goodbyeAcknowledged, once the peer has replied that it sends no further call.
-	told, acknowledged bool
-	offsets            offsets
+	goodbyeSent, goodbyeAcknowledged bool
+	clockOffset                      clockOffset
 	// lastUsed is when a call or message was last sent, by Instant.Monotonic.
 	lastUsed time.Duration
 	// receivedSinceProbe is set once a call or message, whose age matters, has arrived
 	// since the last probe.
-	heard atomic.Bool
+	receivedSinceProbe atomic.Bool
 }
 
 func newConnection(c net.Conn, remote coltsfootward.Instance, clock func() coltsfootward.Instant) *connection {
 	return &connection{
-		net:      c,
-		clock:    clock,
-		remote:   remote,
-		outgoing: make(chan outgoing, outgoingFrames),
-		done:     make(chan struct{}),
-		opening:  make(chan struct{}, 1),
-		streams:  make(map[uint32]*stream),
+		net:        c,
+		clock:      clock,
+		remote:     remote,
+		writeQueue: make(chan writeRequest, writeQueueLength),
+		done:       make(chan struct{}),
+		openLock:   make(chan struct{}, 1),
+		streams:    make(map[uint32]*stream),
 	}
 }
 
 func (c *connection) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		c.net.Close()
 		c.mu.Lock()
@@ -111,20 +111,20 @@
 
 // send queues a frame. It blocks while the write queue is full.
 func (c *connection) send(ctx context.Context, kind frameKind, id uint32, payload []byte) error {
-	return c.enqueue(ctx, outgoing{frame: frame{Kind: kind, Stream: id, Payload: payload}})
+	return c.enqueue(ctx, writeRequest{frame: frame{Kind: kind, Stream: id, Payload: payload}})
 }
 
-func (c *connection) enqueue(ctx context.Context, o outgoing) error {
+func (c *connection) enqueue(ctx context.Context, request writeRequest) error {
 	select {
 	case <-c.done:
 		return errConnectionClosed
 	default:
 	}
-	if len(o.frame.Payload) > maximumPayload {
-		return &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", len(o.frame.Payload), maximumPayload)}
+	if len(request.frame.Payload) > maximumPayloadSize {
+		return &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", len(request.frame.Payload), maximumPayloadSize)}
 	}
 	select {
-	case c.outgoing <- o:
+	case c.writeQueue <- request:
 		return nil
 	case <-c.done:
 		return errConnectionClosed
@@ -136,7 +136,7 @@
 // flush waits until everything queued so far has been written to the socket.
 func (c *connection) flush(ctx context.Context) {
 	flushed := make(chan struct{})
-	if c.enqueue(ctx, outgoing{flushed: flushed}) != nil {
+	if c.enqueue(ctx, writeRequest{flushed: flushed}) != nil {
 		return
 	}
 	select {
@@ -153,10 +153,10 @@
 // kernel would reset it. A reset makes the peer's kernel discard data that it has
 // received but that was not read yet, such as the end of a response that was sent
 // completely.
-func (c *connection) finish(ctx context.Context) {
+func (c *connection) shutdown(ctx context.Context) {
 	c.flush(ctx)
-	half, ok := c.net.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.net.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	select {
@@ -169,7 +169,7 @@
 // queue is full, a goroutine that ends with the connection sends the frame.
 func (c *connection) reset(id uint32) {
 	select {
-	case c.outgoing <- outgoing{frame: frame{Kind: frameReset, Stream: id}}:
+	case c.writeQueue <- writeRequest{frame: frame{Kind: frameReset, Stream: id}}:
 	default:
 		go func() { _ = c.send(context.Background(), frameReset, id, nil) }() // a closed connection aborts the call as well
 	}
@@ -181,17 +181,18 @@
 }
 
 func (c *connection) trySendStream(kind frameKind, id uint32, payload []byte) bool {
-	if len(payload) > maximumPayload {
+	if len(payload) > maximumPayloadSize {
 		return false
 	}
 	select {
-	case c.outgoing <- outgoing{frame: frame{Kind: kind, Stream: id, Payload: payload}}:
+	case c.writeQueue <- writeRequest{frame: frame{Kind: kind, Stream: id, Payload: payload}}:
 		return true
 	default:
 		return false
 	}
 }
 
+// sendValue encodes value and queues it as the payload of a frame.
 func (c *connection) sendValue(kind frameKind, id uint32, value any) error {
 	payload, err := encode(value)
 	if err != nil {
@@ -201,12 +202,12 @@
 }
 
 // writeLoop writes queued frames until the connection closes.
-func (c *connection) write() {
+func (c *connection) writeLoop() {
 	defer c.close()
 	for {
 		select {
-		case o := <-c.outgoing:
-			if c.writeAll(o) != nil {
+		case request := <-c.writeQueue:
+			if c.writeBatch(request) != nil {
 				return
 			}
 		case <-c.done:
@@ -217,36 +218,37 @@
 
 // frameWriterPool shares frame writers and their buffers among the connections that
 // are writing.
-var frameWriters = sync.Pool{New: func() any { return newFrameWriter(bufio.NewWriterSize(nil, writeBuffer)) }}
+var frameWriterPool = sync.Pool{New: func() any { return newFrameWriter(bufio.NewWriterSize(nil, writeBufferSize)) }}
 
 // writeBatch writes an entry and all entries queued behind it, then flushes.
-func (c *connection) writeAll(o outgoing) error {
-	frames := frameWriters.Get().(*frameWriter)
-	defer frameWriters.Put(frames)
-	frames.w.Reset(c.net)
-	defer frames.w.Reset(nil)
+func (c *connection) writeBatch(request writeRequest) error {
+	writer := frameWriterPool.Get().(*frameWriter)
+	defer frameWriterPool.Put(writer)
+	writer.w.Reset(c.net)
+	defer writer.w.Reset(nil)
 	for {
-		if err := c.writeOne(frames, o); err != nil {
+		if err := c.writeOne(writer, request); err != nil {
 			return err
 		}
 		select {
-		case o = <-c.outgoing:
+		case request = <-c.writeQueue:
 		default:
-			return frames.w.Flush()
+			return writer.w.Flush()
 		}
 	}
 }
 
-func (c *connection) writeOne(frames *frameWriter, o outgoing) error {
-	if o.flushed != nil {
-		defer close(o.flushed)
-		return frames.w.Flush()
+// writeOne writes the frame of an entry to the buffer, or flushes the buffer.
+func (c *connection) writeOne(writer *frameWriter, request writeRequest) error {
+	if request.flushed != nil {
+		defer close(request.flushed)
+		return writer.w.Flush()
 	}
-	if o.begin != nil && !o.begin() {
+	if request.beginSend != nil && !request.beginSend() {
 		return nil
 	}
-	o.frame.Sent = int64(c.clock().Monotonic)
-	return frames.write(o.frame)
+	request.frame.Sent = int64(c.clock().Monotonic)
+	return writer.write(request.frame)
 }
 
 // age returns an upper bound of the time since the peer sent the frame.
@@ -254,11 +256,11 @@
 	now := c.clock().Expiry
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.offsets.age(now, time.Duration(f.Sent))
+	return c.clockOffset.age(now, time.Duration(f.Sent))
 }
 
 // handlePong applies the peer's echo of a probe.
-func (c *connection) pong(f frame) error {
+func (c *connection) handlePong(f frame) error {
 	var p probe
 	if err := decode(f.Payload, &p); err != nil {
 		return err
@@ -269,17 +271,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.offsets.echo(now, time.Duration(p.Probe), time.Duration(f.Sent))
+	c.clockOffset.update(now, time.Duration(p.Probe), time.Duration(f.Sent))
 	return nil
 }
 
 // openCall registers a new call and queues its first frame. Both happen under
 // openLock, because IDs must be queued in ascending order: the peer rejects a call
 // whose ID is not above the last one as a replay and closes the connection.
-func (c *connection) open(ctx context.Context, payload []byte) (*stream, error) {
+func (c *connection) openCall(ctx context.Context, payload []byte) (*stream, error) {
 	select {
-	case c.opening <- struct{}{}:
-		defer func() { <-c.opening }()
+	case c.openLock <- struct{}{}:
+		defer func() { <-c.openLock }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -287,9 +289,9 @@
 	if err != nil {
 		return nil, err
 	}
-	o := outgoing{frame: frame{Kind: frameCall, Stream: s.id, Payload: payload}, begin: s.begin}
-	if err := c.enqueue(ctx, o); err != nil {
-		c.forget(s.id)
+	request := writeRequest{frame: frame{Kind: frameCall, Stream: s.id, Payload: payload}, beginSend: s.beginSend}
+	if err := c.enqueue(ctx, request); err != nil {
+		c.removeStream(s.id)
 		return nil, err
 	}
 	return s, nil
@@ -302,11 +304,11 @@
 	if c.closed() {
 		return nil, errConnectionClosed
 	}
-	if c.leaving {
+	if c.peerLeaving {
 		return nil, errPeerLeaving
 	}
-	c.next++
-	s := newStream(c, c.next)
+	c.lastID++
+	s := newStream(c, c.lastID)
 	c.streams[s.id] = s
 	return s, nil
 }
@@ -314,21 +316,21 @@
 // acceptStream registers a call that the peer opened. It returns nil if the peer
 // already has maximumStreams calls open on the connection. cancel is called once
 // the peer has aborted the call or the connection has failed.
-func (c *connection) acceptStream(id uint32, left context.CancelFunc) (*stream, error) {
+func (c *connection) acceptStream(id uint32, cancel context.CancelFunc) (*stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed() {
 		return nil, errConnectionClosed
 	}
-	if id <= c.next {
-		return nil, &FrameError{Reason: fmt.Sprintf("call number %d was used before", id)}
+	if id <= c.lastID {
+		return nil, &FrameError{Reason: fmt.Sprintf("call ID %d was used before", id)}
 	}
-	c.next = id
+	c.lastID = id
 	if len(c.streams) >= maximumStreams {
 		return nil, nil
 	}
 	s := newStream(c, id)
-	s.left = left
+	s.cancelServing = cancel
 	c.streams[id] = s
 	return s, nil
 }
@@ -339,7 +341,7 @@
 	return c.streams[id]
 }
 
-func (c *connection) forget(id uint32) {
+func (c *connection) removeStream(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, id)
@@ -355,7 +357,7 @@
 
 // idleTime returns the time since the connection was last used; zero while calls are
 // open.
-func (c *connection) idle() time.Duration {
+func (c *connection) idleTime() time.Duration {
 	now := c.clock().Monotonic
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -368,10 +370,10 @@
 // handleStreamFrame dispatches a frame to its call. A frame for a call that has ended
 // is dropped. Since IDs are never reused on a connection, a late response cannot
 // reach another call.
-func (c *connection) streamFrame(f frame) error {
+func (c *connection) handleStreamFrame(f frame) error {
 	s := c.stream(f.Stream)
 	if s == nil {
 		return nil
 	}
-	return s.take(f)
+	return s.handleFrame(f)
 }
--- a/io/peer/dial.go
+++ b/io/peer/dial.go
@@ -9,7 +9,7 @@
 
 // dialEntry is the outbound connection to one peer, or the pending attempt to dial it.
 // The fields connection and err are set before ready is closed.
-type dialled struct {
+type dialEntry struct {
 	ready      chan struct{}
 	connection *connection
 	err        error
@@ -18,8 +18,8 @@
 
 // dial returns the connection to a peer and dials one if there is none.
 func (t *Transport) dial(ctx context.Context, to coltsfootward.Instance) (*connection, error) {
-	d, mine := t.reserve(to)
-	if mine {
+	d, created := t.lookupOrCreate(to)
+	if created {
 		t.startConnect(d, to)
 	}
 	select {
@@ -27,46 +27,48 @@
 		return d.connection, d.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-t.ending.Done():
+	case <-t.closing.Done():
 		return nil, errConnectionClosed
 	}
 }
 
 // lookupOrCreate returns the peer's entry and whether it was created, in which case
 // the caller must connect it.
-func (t *Transport) reserve(to coltsfootward.Instance) (*dialled, bool) {
+func (t *Transport) lookupOrCreate(to coltsfootward.Instance) (*dialEntry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if d, ok := t.dialled[to.ID]; ok && d.usable(to.Address) {
+	if d, ok := t.dialEntries[to.ID]; ok && d.usable(to.Address) {
 		return d, false
 	}
-	d := &dialled{ready: make(chan struct{}), address: to.Address}
-	t.dialled[to.ID] = d
+	d := &dialEntry{ready: make(chan struct{}), address: to.Address}
+	t.dialEntries[to.ID] = d
 	return d, true
 }
 
 // usable reports whether the entry's connection to address is open or being dialled.
-func (d *dialled) usable(address string) bool {
+func (d *dialEntry) usable(address string) bool {
 	if d.address != address {
 		return false
 	}
 	select {
 	case <-d.ready:
-		return d.err == nil && !d.connection.closed() && !d.connection.isLeaving()
+		return d.err == nil && !d.connection.closed() && !d.connection.isPeerLeaving()
 	default:
 		return true
 	}
 }
 
-func (t *Transport) startConnect(d *dialled, to coltsfootward.Instance) {
+func (t *Transport) startConnect(d *dialEntry, to coltsfootward.Instance) {
 	if !t.start(func() { t.connect(d, to) }) {
 		d.err = errConnectionClosed
 		close(d.ready)
 	}
 }
 
-func (t *Transport) connect(d *dialled, to coltsfootward.Instance) {
-	c, reader, err := t.handshake(to)
+// connect dials the peer, publishes the result in d and runs the connection until it
+// closes.
+func (t *Transport) connect(d *dialEntry, to coltsfootward.Instance) {
+	c, reader, err := t.dialAndHandshake(to)
 	if err == nil {
 		t.mu.Lock()
 		t.outbound[c] = struct{}{}
@@ -78,14 +80,14 @@
 		return
 	}
 	select {
-	case <-t.ending.Done():
+	case <-t.closing.Done():
 		c.close()
 		return
 	default:
 	}
 	t.handler.PeerConnected(c.remote)
-	t.wait.Go(c.write)
-	t.read(c, reader)
+	t.goroutines.Go(c.writeLoop)
+	t.readLoop(c, reader)
 	c.close()
 	t.mu.Lock()
 	delete(t.outbound, c)
@@ -100,25 +102,27 @@
 	if err != nil {
 		return
 	}
-	d, mine := t.reserve(to)
-	if mine {
+	d, created := t.lookupOrCreate(to)
+	if created {
 		t.startConnect(d, to)
 	}
 	select {
 	case <-d.ready:
-		d.deliver(payload)
+		d.sendMessage(payload)
 	default:
 		t.start(func() {
 			select {
 			case <-d.ready:
-				d.deliver(payload)
-			case <-t.ending.Done():
+				d.sendMessage(payload)
+			case <-t.closing.Done():
 			}
 		})
 	}
 }
 
-func (d *dialled) deliver(payload []byte) {
+// sendMessage queues an encoded message. It drops the message if dialling has failed or
+// the write queue is full.
+func (d *dialEntry) sendMessage(payload []byte) {
 	if d.err != nil {
 		return
 	}
--- a/io/peer/export_test.go
+++ b/io/peer/export_test.go
@@ -10,9 +10,9 @@
 
 // Limits that the tests reach and exceed.
 const (
-	MaximumFrame   = maximumFrame
-	MaximumStreams = maximumStreams
-	WindowChunks   = windowChunks
+	MaximumFrameSize = maximumFrameSize
+	MaximumStreams   = maximumStreams
+	WindowChunks     = windowChunks
 )
 
 // Frame is exported for tests.
@@ -76,7 +76,7 @@
 
 // ProbeActivePeers probes the clocks of the peers that have sent a call or message since
 // the last probe.
-func (t *Transport) ProbeAll() { t.probeAll() }
+func (t *Transport) ProbeActivePeers() { t.probeActivePeers() }
 
 // FrameMessage and FramePing are further kinds of frames.
 const (
--- a/io/peer/frame.go
+++ b/io/peer/frame.go
@@ -23,11 +23,11 @@
 const (
 	// maximumFrameSize limits a frame in bytes, so that a hostile or faulty peer cannot
 	// make a node allocate unlimited memory.
-	maximumFrame = 1 << 20
+	maximumFrameSize = 1 << 20
 	// maximumPayloadSize leaves room for the frame's header. A larger payload is
 	// rejected when it is queued: if only the writer detected it, the connection and
 	// every other call on it would fail.
-	maximumPayload = maximumFrame - 128
+	maximumPayloadSize = maximumFrameSize - 128
 	// chunkSize is the maximum number of body bytes in one frame.
 	chunkSize = 32 << 10
 	// windowChunks is the flow-control window: how many chunks a sender may have sent
@@ -78,7 +78,7 @@
 
 // frameKindsByName maps names to kinds, so that reading a known kind allocates no
 // string.
-var frameKinds = func() map[string]frameKind {
+var frameKindsByName = func() map[string]frameKind {
 	kinds := make(map[string]frameKind)
 	for _, kind := range []frameKind{
 		frameHello, framePing, framePong, frameMessage, frameCall, frameAnswer, frameWhole, frameBody,
@@ -90,7 +90,7 @@
 }()
 
 // maximumKindLength limits the name of a frame's kind in bytes.
-const longestKind = 32
+const maximumKindLength = 32
 
 // hello is the payload of the first frame that each side sends on a connection.
 type hello struct {
@@ -108,41 +108,41 @@
 }
 
 // completeResponse is the payload of a frame of kind frameWhole.
-type wholeAnswer struct {
+type completeResponse struct {
 	Head message.Response    `msgpack:"head"`
 	Body []byte              `msgpack:"body"`
 	End  message.ResponseEnd `msgpack:"end"`
 }
 
 // completeResponseFields is the number of fields of a completeResponse on the wire.
-const wholeFields = 3
+const completeResponseFields = 3
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (a *wholeAnswer) EncodeMsgpack(encoder *msgpack.Encoder) error {
+func (r *completeResponse) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	return errors.Join(
-		encoder.EncodeArrayLen(wholeFields),
-		a.Head.EncodeMsgpack(encoder),
-		encoder.EncodeBytes(a.Body),
-		a.End.EncodeMsgpack(encoder),
+		encoder.EncodeArrayLen(completeResponseFields),
+		r.Head.EncodeMsgpack(encoder),
+		encoder.EncodeBytes(r.Body),
+		r.End.EncodeMsgpack(encoder),
 	)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (a *wholeAnswer) DecodeMsgpack(decoder *msgpack.Decoder) error {
+func (r *completeResponse) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	count, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	if count != wholeFields {
-		return fmt.Errorf("got %d fields, want %d", count, wholeFields)
+	if count != completeResponseFields {
+		return fmt.Errorf("got %d fields, want %d", count, completeResponseFields)
 	}
-	if err := a.Head.DecodeMsgpack(decoder); err != nil {
+	if err := r.Head.DecodeMsgpack(decoder); err != nil {
 		return err
 	}
-	if a.Body, err = decoder.DecodeBytes(); err != nil {
+	if r.Body, err = decoder.DecodeBytes(); err != nil {
 		return err
 	}
-	return a.End.DecodeMsgpack(decoder)
+	return r.End.DecodeMsgpack(decoder)
 }
 
 // FrameError is the error of bytes that are not a valid frame or that violate the
@@ -178,19 +178,19 @@
 }
 
 // maximumReusedBuffer limits the buffer that is reused for the next frame, in bytes.
-const keptBuffer = 64 << 10
+const maximumReusedBuffer = 64 << 10
 
 func (fw *frameWriter) write(f frame) error {
-	if fw.buffer.Cap() > keptBuffer {
+	if fw.buffer.Cap() > maximumReusedBuffer {
 		fw.buffer = bytes.Buffer{}
 	}
 	fw.buffer.Reset()
-	if err := fw.head(f); err != nil {
+	if err := fw.encodeHeader(f); err != nil {
 		return fmt.Errorf("peer: encode frame: %w", err)
 	}
 	size := fw.buffer.Len() + len(f.Payload)
-	if size > maximumFrame {
-		return &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", size, maximumFrame)}
+	if size > maximumFrameSize {
+		return &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", size, maximumFrameSize)}
 	}
 	var length [lengthBytes]byte
 	binary.BigEndian.PutUint32(length[:], uint32(size))
@@ -203,7 +203,7 @@
 }
 
 // encodeHeader encodes all of a frame but its payload.
-func (fw *frameWriter) head(f frame) error {
+func (fw *frameWriter) encodeHeader(f frame) error {
 	if err := fw.encoder.EncodeString(string(f.Kind)); err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 	r       io.Reader
 	decoder *byteDecoder
 	length  [lengthBytes]byte
-	kind    [longestKind]byte
+	kind    [maximumKindLength]byte
 }
 
 func newFrameReader(r io.Reader) *frameReader {
@@ -242,8 +242,8 @@
 		return f, err
 	}
 	size := binary.BigEndian.Uint32(fr.length[:])
-	if size > maximumFrame {
-		return f, &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", size, maximumFrame)}
+	if size > maximumFrameSize {
+		return f, &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", size, maximumFrameSize)}
 	}
 	data := make([]byte, size)
 	if _, err := io.ReadFull(fr.r, data); err != nil {
@@ -255,7 +255,7 @@
 // parse decodes a frame. The payload is a slice of data, not a copy.
 func (fr *frameReader) parse(data []byte) (frame, error) {
 	var f frame
-	fr.decoder.take(data)
+	fr.decoder.load(data)
 	kind, err := fr.readKind()
 	if err != nil {
 		return f, &FrameError{Reason: "undecodable", Err: err}
@@ -266,7 +266,7 @@
 			return f, &FrameError{Reason: "undecodable", Err: err}
 		}
 	}
-	f = frame{Kind: kind, Stream: uint32(numbers[0]), Sent: numbers[1], Payload: fr.decoder.rest(data)}
+	f = frame{Kind: kind, Stream: uint32(numbers[0]), Sent: numbers[1], Payload: fr.decoder.remainder(data)}
 	if int64(len(f.Payload)) != numbers[2] || int64(f.Stream) != numbers[0] {
 		return f, &FrameError{Reason: "the fields of the frame do not fit its length"}
 	}
@@ -278,14 +278,14 @@
 	if err != nil {
 		return "", err
 	}
-	if length < 0 || length > longestKind {
+	if length < 0 || length > maximumKindLength {
 		return "", fmt.Errorf("frame kind of %d bytes", length)
 	}
 	name := fr.kind[:length]
 	if err := fr.decoder.ReadFull(name); err != nil {
 		return "", err
 	}
-	if kind, ok := frameKinds[string(name)]; ok {
+	if kind, ok := frameKindsByName[string(name)]; ok {
 		return kind, nil
 	}
 	return frameKind(name), nil
@@ -304,17 +304,17 @@
 }
 
 // load makes the decoder read from the start of data.
-func (d *byteDecoder) take(data []byte) {
+func (d *byteDecoder) load(data []byte) {
 	d.source.Reset(data)
 	d.Reset(&d.source)
 }
 
 // remainder returns the part of data that is not decoded yet. The decoder must have
 // been loaded with data.
-func (d *byteDecoder) rest(data []byte) []byte { return data[len(data)-d.source.Len():] }
+func (d *byteDecoder) remainder(data []byte) []byte { return data[len(data)-d.source.Len():] }
 
 // byteDecoderPool holds decoders for reuse.
-var byteDecoders = sync.Pool{New: func() any { return newByteDecoder() }}
+var byteDecoderPool = sync.Pool{New: func() any { return newByteDecoder() }}
 
 // decode decodes a payload. It converts a panic of the decoder, which hostile bytes
 // can cause, to a *FrameError.
@@ -324,12 +324,12 @@
 			err = &FrameError{Reason: fmt.Sprintf("undecodable: %v", r)}
 		}
 	}()
-	if own, ok := into.(msgpack.CustomDecoder); ok {
-		d := byteDecoders.Get().(*byteDecoder)
-		d.take(data)
-		err = own.DecodeMsgpack(d.Decoder)
-		d.take(nil)
-		byteDecoders.Put(d)
+	if custom, ok := into.(msgpack.CustomDecoder); ok {
+		d := byteDecoderPool.Get().(*byteDecoder)
+		d.load(data)
+		err = custom.DecodeMsgpack(d.Decoder)
+		d.load(nil)
+		byteDecoderPool.Put(d)
 	} else {
 		err = msgpack.Unmarshal(data, into)
 	}
@@ -341,13 +341,13 @@
 
 // typicalPayloadSize is the initial capacity of an encoding buffer in bytes. Most
 // payloads fit into it.
-const usualPayload = 512
+const typicalPayloadSize = 512
 
 // encodeWith returns the bytes that write encodes.
-func encoded(write func(*msgpack.Encoder) error) ([]byte, error) {
+func encodeWith(write func(*msgpack.Encoder) error) ([]byte, error) {
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
-	data := bytes.NewBuffer(make([]byte, 0, usualPayload))
+	data := bytes.NewBuffer(make([]byte, 0, typicalPayloadSize))
 	encoder.Reset(data)
 	if err := write(encoder); err != nil {
 		return nil, fmt.Errorf("peer: encode: %w", err)
@@ -356,15 +356,15 @@
 }
 
 func encode(value any) ([]byte, error) {
-	if own, ok := value.(msgpack.CustomEncoder); ok {
-		return encoded(own.EncodeMsgpack)
+	if custom, ok := value.(msgpack.CustomEncoder); ok {
+		return encodeWith(custom.EncodeMsgpack)
 	}
-	return encoded(func(encoder *msgpack.Encoder) error { return encoder.Encode(value) })
+	return encodeWith(func(encoder *msgpack.Encoder) error { return encoder.Encode(value) })
 }
 
 // encodeMessage encodes the kind of a message followed by the message.
 func encodeMessage(m message.Message) ([]byte, error) {
-	return encoded(func(encoder *msgpack.Encoder) error {
+	return encodeWith(func(encoder *msgpack.Encoder) error {
 		if err := encoder.EncodeString(string(m.MessageKind())); err != nil {
 			return err
 		}
@@ -373,12 +373,12 @@
 }
 
 func decodeMessage(data []byte) (message.Message, error) {
-	d := byteDecoders.Get().(*byteDecoder)
-	d.take(data)
+	d := byteDecoderPool.Get().(*byteDecoder)
+	d.load(data)
 	kind, err := d.DecodeString()
-	rest := d.rest(data)
-	d.take(nil)
-	byteDecoders.Put(d)
+	remainder := d.remainder(data)
+	d.load(nil)
+	byteDecoderPool.Put(d)
 	if err != nil {
 		return nil, &FrameError{Reason: "undecodable", Err: err}
 	}
@@ -386,7 +386,7 @@
 	if m == nil {
 		return nil, &FrameError{Reason: fmt.Sprintf("unknown message kind %q", kind)}
 	}
-	if err := decode(rest, m); err != nil {
+	if err := decode(remainder, m); err != nil {
 		return nil, err
 	}
 	return m, nil
@@ -405,35 +405,35 @@
 // wrote the stamp, this node's clock read the probe's value or later. A frame with
 // stamp s was thus sent no earlier than probe + (s − stamp) by this node's clock, which
 // gives an upper bound of its age without comparing wall clocks.
-type offsets struct {
-	known bool
+type clockOffset struct {
+	valid bool
 	// lowerBound is probe − stamp of the best echo so far, measuredAt the local time at
 	// which that echo was processed.
-	bound time.Duration
-	taken time.Duration
+	lowerBound time.Duration
+	measuredAt time.Duration
 }
 
 // update applies an echoed probe: it replaces the bound if the new one is tighter.
-func (o *offsets) echo(now, probe, stamp time.Duration) {
+func (o *clockOffset) update(now, probe, stamp time.Duration) {
 	bound := probe - stamp
-	if !o.known || bound > o.aged(now) {
-		o.known = true
-		o.bound = bound
-		o.taken = now
+	if !o.valid || bound > o.lowerBoundAt(now) {
+		o.valid = true
+		o.lowerBound = bound
+		o.measuredAt = now
 	}
 }
 
 // lowerBoundAt returns the bound, reduced by the drift that is possible since it was
 // measured.
-func (o *offsets) aged(now time.Duration) time.Duration {
-	drift := time.Duration((now - o.taken).Seconds() * float64(clockDrift))
-	return o.bound - drift
+func (o *clockOffset) lowerBoundAt(now time.Duration) time.Duration {
+	drift := time.Duration((now - o.measuredAt).Seconds() * float64(clockDrift))
+	return o.lowerBound - drift
 }
 
 // age returns an upper bound of the time since the peer stamped a frame.
-func (o *offsets) age(now, stamp time.Duration) time.Duration {
-	if !o.known {
+func (o *clockOffset) age(now, stamp time.Duration) time.Duration {
+	if !o.valid {
 		return now
 	}
-	return max(now-(stamp+o.aged(now)), 0)
+	return max(now-(stamp+o.lowerBoundAt(now)), 0)
 }
--- a/io/peer/handshake.go
+++ b/io/peer/handshake.go
@@ -12,34 +12,34 @@
 )
 
 // serverHandshake exchanges hello frames on an accepted connection.
-func (t *Transport) welcome(n net.Conn) (*connection, *bufio.Reader, error) {
+func (t *Transport) serverHandshake(n net.Conn) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
 	}
-	reader := bufio.NewReaderSize(n, readBuffer)
-	theirs, err := readHello(reader)
+	reader := bufio.NewReaderSize(n, readBufferSize)
+	peerHello, err := readHello(reader)
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := t.writeHello(n); err != nil {
 		return nil, nil, err
 	}
-	if err := checkVersion(theirs); err != nil {
+	if err := checkHello(peerHello); err != nil {
 		return nil, nil, err
 	}
-	return t.established(n, theirs), reader, nil
+	return t.establish(n, peerHello), reader, nil
 }
 
-func (t *Transport) established(n net.Conn, theirs hello) *connection {
+func (t *Transport) establish(n net.Conn, peerHello hello) *connection {
 	if err := n.SetDeadline(time.Time{}); err != nil {
 		n.Close()
 	}
-	c := newConnection(&timedConn{Conn: n}, theirs.Instance, t.clock)
+	c := newConnection(&writeDeadlineConn{Conn: n}, peerHello.Instance, t.clock)
 	c.touch()
 	return c
 }
 
-func checkVersion(h hello) error {
+func checkHello(h hello) error {
 	if h.Version != ProtocolVersion {
 		return &FrameError{Reason: fmt.Sprintf("protocol version %d, this node has %d", h.Version, ProtocolVersion)}
 	}
@@ -73,17 +73,17 @@
 	return w.Flush()
 }
 
-func (t *Transport) handshake(to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
-	n, err := socket.Dialer(dialTimeout).DialContext(t.ending, "tcp", to.Address)
+func (t *Transport) dialAndHandshake(to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
+	n, err := socket.Dialer(dialTimeout).DialContext(t.closing, "tcp", to.Address)
 	if err != nil {
 		return nil, nil, fmt.Errorf("peer: dial %s: %w: check that the instance runs and its address is reachable", to.ID, err)
 	}
-	release := t.closeAtEnd(n)
-	c, reader, err := t.greet(n, to)
+	release := t.closeWithTransport(n)
+	c, reader, err := t.clientHandshake(n, to)
 	release()
 	if err != nil {
 		n.Close()
-		t.rejected(n.RemoteAddr().String(), err)
+		t.reportRejected(n.RemoteAddr().String(), err)
 		return nil, nil, err
 	}
 	return c, reader, nil
@@ -91,26 +91,26 @@
 
 // clientHandshake exchanges hello frames on a dialled connection and checks that the
 // intended instance answers.
-func (t *Transport) greet(n net.Conn, to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
+func (t *Transport) clientHandshake(n net.Conn, to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
 	}
 	if err := t.writeHello(n); err != nil {
 		return nil, nil, err
 	}
-	reader := bufio.NewReaderSize(n, readBuffer)
-	theirs, err := readHello(reader)
+	reader := bufio.NewReaderSize(n, readBufferSize)
+	peerHello, err := readHello(reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := checkVersion(theirs); err != nil {
+	if err := checkHello(peerHello); err != nil {
 		return nil, nil, err
 	}
-	if theirs.Instance.ID != to.ID {
-		return nil, nil, &FrameError{Reason: fmt.Sprintf("dialled instance %s, reached %s", to.ID, theirs.Instance.ID)}
+	if peerHello.Instance.ID != to.ID {
+		return nil, nil, &FrameError{Reason: fmt.Sprintf("dialled instance %s, reached %s", to.ID, peerHello.Instance.ID)}
 	}
-	c := t.established(n, theirs)
+	c := t.establish(n, peerHello)
 	// The echo is the first frame after the hello, so that the peer can bound the age
 	// of all frames that follow.
-	return c, reader, c.sendValue(framePong, 0, &probe{Probe: theirs.Probe})
+	return c, reader, c.sendValue(framePong, 0, &probe{Probe: peerHello.Probe})
 }
--- a/io/peer/hostile_test.go
+++ b/io/peer/hostile_test.go
@@ -33,9 +33,9 @@
 	return all
 }
 
-func oversized() []byte {
+func oversizedLength() []byte {
 	var length [4]byte
-	binary.BigEndian.PutUint32(length[:], peer.MaximumFrame+1)
+	binary.BigEndian.PutUint32(length[:], peer.MaximumFrameSize+1)
 	return length[:]
 }
 
@@ -43,41 +43,41 @@
 // the bytes, close that connection, and keep all other connections.
 func TestHostileBytesCloseOnlyTheirConnection(t *testing.T) {
 	end := peer.EncodeFrame(peer.NewFrame("end", 1, peer.Encode(&message.ResponseEnd{})))
-	good := helloFrame(peer.ProtocolVersion)
+	validHello := helloFrame(peer.ProtocolVersion)
 	for _, test := range []struct {
 		name string
 		sent [][]byte
 	}{
 		{"no frame at all", [][]byte{[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")}},
-		{"length beyond the limit", [][]byte{oversized()}},
+		{"length beyond the limit", [][]byte{oversizedLength()}},
 		{"other version", [][]byte{helloFrame(peer.ProtocolVersion + 1)}},
 		{"call before the hello", [][]byte{callFrame(1)}},
-		{"undecodable frame", [][]byte{good, {0, 0, 0, 3, 0xc1, 0xc1, 0xc1}}},
-		{"oversized frame after the hello", [][]byte{good, oversized()}},
-		{"call number used twice", [][]byte{good, callFrame(1), callFrame(1)}},
-		{"undecodable call", [][]byte{good, peer.EncodeFrame(peer.NewFrame("call", 1, []byte{0xc1}))}},
-		{"body beyond its window", [][]byte{good, callFrame(1), bodyFrames(1, peer.WindowChunks+1)}},
-		{"credit beyond the window", [][]byte{good, callFrame(1), peer.EncodeFrame(peer.NewFrame("credit", 1, nil))}},
-		{"body after its end", [][]byte{good, callFrame(1), end, bodyFrames(1, 1)}},
-		{"two ends", [][]byte{good, callFrame(1), end, end}},
-		{"unknown message", [][]byte{good, peer.EncodeFrame(peer.NewFrame("message", 0, peer.Encode(map[string]any{"kind": "unheard_of"})))}},
-		{"unknown kind within a call", [][]byte{good, callFrame(1), peer.EncodeFrame(peer.NewFrame("unheard_of", 1, nil))}},
+		{"undecodable frame", [][]byte{validHello, {0, 0, 0, 3, 0xc1, 0xc1, 0xc1}}},
+		{"oversized frame after the hello", [][]byte{validHello, oversizedLength()}},
+		{"call ID used twice", [][]byte{validHello, callFrame(1), callFrame(1)}},
+		{"undecodable call", [][]byte{validHello, peer.EncodeFrame(peer.NewFrame("call", 1, []byte{0xc1}))}},
+		{"body beyond its window", [][]byte{validHello, callFrame(1), bodyFrames(1, peer.WindowChunks+1)}},
+		{"credit beyond the window", [][]byte{validHello, callFrame(1), peer.EncodeFrame(peer.NewFrame("credit", 1, nil))}},
+		{"body after its end", [][]byte{validHello, callFrame(1), end, bodyFrames(1, 1)}},
+		{"two ends", [][]byte{validHello, callFrame(1), end, end}},
+		{"unknown message", [][]byte{validHello, peer.EncodeFrame(peer.NewFrame("message", 0, peer.Encode(map[string]any{"kind": "unheard_of"})))}},
+		{"unknown kind within a call", [][]byte{validHello, callFrame(1), peer.EncodeFrame(peer.NewFrame("unheard_of", 1, nil))}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := newPair(t, holdOrAnswer)
+			p := newPair(t, holdOrRespond)
 			c := dialRaw(t, p)
 			for _, bytes := range test.sent {
 				if _, err := c.Write(bytes); err != nil {
 					break // the node has closed the connection
 				}
 			}
-			if err := c.SetReadDeadline(time.Now().Add(wait)); err != nil {
+			if err := c.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, context.DeadlineExceeded) {
 				t.Fatal("the connection was not closed")
 			}
-			until(t, func() bool { return len(p.handler.rejections()) > 0 })
+			waitUntil(t, func() bool { return len(p.handler.rejections()) > 0 })
 			var invalid *peer.FrameError
 			if err := p.handler.rejections()[0]; !errors.As(err, &invalid) {
 				t.Errorf("got %v, want a *peer.FrameError", err)
@@ -92,7 +92,7 @@
 // A peer keeps opening calls and never finishes one. Each call beyond the limit must be
 // refused. The calls within the limit and those of other peers must continue.
 func TestTooManyOpenCallsAreRefused(t *testing.T) {
-	p := newPair(t, holdOrAnswer)
+	p := newPair(t, holdOrRespond)
 	c := dialRaw(t, p)
 	if _, err := c.Write(helloFrame(peer.ProtocolVersion)); err != nil {
 		t.Fatal(err)
@@ -125,17 +125,17 @@
 	}
 }
 
-// holdOrAnswer keeps calls to /hold open until they are aborted or their connection
+// holdOrRespond keeps calls to /hold open until they are aborted or their connection
 // fails, and responds to all others.
-func holdOrAnswer(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func holdOrRespond(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 	if call.Head.Path == "/hold" {
 		<-ctx.Done()
 		return
 	}
-	answerBody(ctx, call, w)
+	respondWithBody(ctx, call, w)
 }
 
-func dialRaw(t *testing.T, p *pair) net.Conn {
+func dialRaw(t *testing.T, p *transportPair) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.instance.Address)
 	if err != nil {
@@ -145,10 +145,10 @@
 	return c
 }
 
-func until(t *testing.T, done func() bool) {
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(wait); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(waitTimeout); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("timed out waiting")
 		}
 	}
@@ -157,14 +157,14 @@
 func FuzzReadFrame(f *testing.F) {
 	f.Add(helloFrame(1))
 	f.Add(callFrame(7))
-	f.Add(oversized())
+	f.Add(oversizedLength())
 	f.Add([]byte{0, 0, 0, 5, 0x94, 0xa5})
 	f.Add([]byte{0, 0, 0, 6, 0xdd, 0xff, 0xff, 0xff, 0xff, 0xc0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := peer.ReadFrame(bytes.NewReader(data))
-		checkTyped(t, err)
+		checkFrameError(t, err)
 		_, err = peer.ReadHello(bytes.NewReader(data))
-		checkTyped(t, err)
+		checkFrameError(t, err)
 	})
 }
 
@@ -186,16 +186,16 @@
 	f.Add([]byte{0x82, 0xa4, 'k', 'i', 'n', 'd', 0xdb, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := peer.DecodeMessage(data)
-		checkTyped(t, err)
-		checkTyped(t, peer.Decode(data, &message.Call{}))
-		checkTyped(t, peer.Decode(data, &message.Response{}))
-		checkTyped(t, peer.Decode(data, &message.ResponseEnd{}))
+		checkFrameError(t, err)
+		checkFrameError(t, peer.Decode(data, &message.Call{}))
+		checkFrameError(t, peer.Decode(data, &message.Response{}))
+		checkFrameError(t, peer.Decode(data, &message.ResponseEnd{}))
 	})
 }
 
-// checkTyped checks that every error on hostile bytes is a *peer.FrameError, except for
+// checkFrameError checks that every error on hostile bytes is a *peer.FrameError, except for
 // io.EOF between two frames.
-func checkTyped(t *testing.T, err error) {
+func checkFrameError(t *testing.T, err error) {
 	t.Helper()
 	var invalid *peer.FrameError
 	if err != nil && !errors.Is(err, io.EOF) && !errors.As(err, &invalid) {
--- a/io/peer/probe_test.go
+++ b/io/peer/probe_test.go
@@ -28,16 +28,16 @@
 // since the last probe may be probed.
 func TestSilentPeerIsNotProbed(t *testing.T) {
 	const silence = 200 * time.Millisecond
-	p := newPair(t, holdOrAnswer)
+	p := newPair(t, holdOrRespond)
 	c := dialRaw(t, p)
 	if _, err := c.Write(helloFrame(peer.ProtocolVersion)); err != nil {
 		t.Fatal(err)
 	}
 	r := bufio.NewReader(c)
-	if kind := nextKind(t, c, r, wait); kind != string(peer.FrameHello) {
+	if kind := nextKind(t, c, r, waitTimeout); kind != string(peer.FrameHello) {
 		t.Fatalf("got %q, want the hello", kind)
 	}
-	p.server.ProbeAll()
+	p.server.ProbeActivePeers()
 	if kind := nextKind(t, c, r, silence); kind != "" {
 		t.Fatalf("got %q, want no frame on a silent connection", kind)
 	}
@@ -48,8 +48,8 @@
 	if _, err := c.Write(peer.EncodeFrame(peer.NewFrame(string(peer.FrameMessage), 0, payload))); err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool {
-		p.server.ProbeAll()
+	waitUntil(t, func() bool {
+		p.server.ProbeActivePeers()
 		return nextKind(t, c, r, silence) == string(peer.FramePing)
 	})
 }
--- a/io/peer/shutdown.go
+++ b/io/peer/shutdown.go
@@ -6,7 +6,7 @@
 )
 
 // goodbyePollInterval is the time between two checks for acknowledged goodbyes.
-const goodbyeInterval = 2 * time.Millisecond
+const goodbyePollInterval = 2 * time.Millisecond
 
 // announceShutdown sends every peer a goodbye and waits until each has acknowledged
 // that it sends no further call, or until finishTimeout has passed. The handler must
@@ -18,15 +18,15 @@
 // executed, and it queues the acknowledgement behind the last call that it sent. Once
 // the acknowledgement has arrived, this node has received every call that it has to
 // answer.
-func (t *Transport) takeLeave(ctx context.Context) {
+func (t *Transport) announceShutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	if t.listener != nil {
 		t.listener.Close()
 	}
-	for !t.allAcknowledged() {
+	for !t.sendGoodbyes() {
 		select {
-		case <-time.After(goodbyeInterval):
+		case <-time.After(goodbyePollInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -36,52 +36,52 @@
 // sendGoodbyes sends the goodbyes that are missing and reports whether every peer has
 // acknowledged its goodbye. It is called repeatedly, because connections whose
 // handshake was in progress are added later.
-func (t *Transport) allAcknowledged() bool {
+func (t *Transport) sendGoodbyes() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := true
 	for c := range t.accepted {
-		all = c.sayGoodbye() && all
+		all = c.sendGoodbye() && all
 	}
 	return all
 }
 
 // sendGoodbye queues the goodbye once and reports whether the peer has acknowledged
 // it. If the write queue is full, the next call tries again.
-func (c *connection) sayGoodbye() bool {
+func (c *connection) sendGoodbye() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.told {
-		c.told = c.trySend(frameGoodbye, nil)
+	if !c.goodbyeSent {
+		c.goodbyeSent = c.trySend(frameGoodbye, nil)
 	}
-	return c.acknowledged
+	return c.goodbyeAcknowledged
 }
 
 // handleGoodbye handles the peer's goodbye. The acknowledgement is queued under
 // openLock, so that it follows every call that was opened before.
-func (c *connection) takeGoodbye() {
+func (c *connection) handleGoodbye() {
 	c.mu.Lock()
-	c.leaving = true
+	c.peerLeaving = true
 	c.mu.Unlock()
 	go func() {
 		select {
-		case c.opening <- struct{}{}:
+		case c.openLock <- struct{}{}:
 		case <-c.done:
 			return
 		}
-		defer func() { <-c.opening }()
+		defer func() { <-c.openLock }()
 		_ = c.send(context.Background(), frameNoMoreCalls, 0, nil) // a closed connection carries no further calls either
 	}()
 }
 
-func (c *connection) takeNoMoreCalls() {
+func (c *connection) handleNoMoreCalls() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acknowledged = true
+	c.goodbyeAcknowledged = true
 }
 
-func (c *connection) isLeaving() bool {
+func (c *connection) isPeerLeaving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leaving
+	return c.peerLeaving
 }
--- a/io/peer/shutdown_test.go
+++ b/io/peer/shutdown_test.go
@@ -19,18 +19,18 @@
 // connection was being closed. Others lost a complete response, because its end frame
 // was still queued when the connection was closed. Every call must get a complete
 // response, or be known not to have been sent.
-func TestShutdownCutsOffNoCall(t *testing.T) {
+func TestShutdownLosesNoCall(t *testing.T) {
 	for round := range 20 {
 		north, _ := newTransport(t, "north-1")
 		leaving, south := newTransport(t, "south-1")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-		var answered atomic.Int64
+		var completed atomic.Int64
 		var wait sync.WaitGroup
 		for caller := range 16 {
 			wait.Go(func() {
 				for i := 0; ; i++ {
 					path := fmt.Sprintf("/%d/%d", caller, i)
-					answer, err := north.Call(ctx, south, message.Call{Path: path}, nil)
+					response, err := north.Call(ctx, south, message.Call{Path: path}, nil)
 					var failed *peer.CallError
 					if errors.As(err, &failed) {
 						if failed.Sent {
@@ -38,17 +38,17 @@
 						}
 						return
 					}
-					body, err := io.ReadAll(answer)
-					answer.Close()
+					body, err := io.ReadAll(response)
+					response.Close()
 					if err != nil || string(body) != path {
 						t.Errorf("round %d, call %s: got body %q and %v, want the path and no error", round, path, body, err)
 						return
 					}
-					answered.Add(1)
+					completed.Add(1)
 				}
 			})
 		}
-		for answered.Load() < 200 && ctx.Err() == nil {
+		for completed.Load() < 200 && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		leaving.Shutdown(ctx)
--- a/io/peer/stream.go
+++ b/io/peer/stream.go
@@ -18,8 +18,8 @@
 type stream struct {
 	connection *connection
 	id         uint32
-	// sendState tells whether a byte of the call may have been sent; see sendQueued.
-	departure atomic.Int32
+	// sendState records whether a byte of the call may have been sent; see sendQueued.
+	sendState atomic.Int32
 	// head receives the head of the response, on the calling side.
 	head chan message.Response
 	// chunks receives the body. Its capacity is the flow-control window, so it is
@@ -27,50 +27,51 @@
 	chunks chan []byte
 	// credits holds a token for each chunk that may be sent.
 	credits chan struct{}
-	// done is closed when the call has been cancelled, reset or finished by either side.
-	done chan struct{}
-	once sync.Once
+	// done is closed when either side has cancelled, reset or finished the call, or the
+	// connection has closed.
+	done     chan struct{}
+	failOnce sync.Once
 	// cancelServing is called when done is closed, on the serving side; it may be nil.
-	left context.CancelFunc
+	cancelServing context.CancelFunc
 	// endReceived is closed when the peer's end frame has arrived.
-	ended chan struct{}
+	endReceived chan struct{}
 	// hasEnd is set by the first end frame, to detect a second one.
-	endTaken atomic.Bool
-	end      message.ResponseEnd
-	err      error
-	rest     []byte
+	hasEnd atomic.Bool
+	end    message.ResponseEnd
+	err    error
+	unread []byte
 }
 
 // The values of stream.sendState. The state changes once, from sendQueued to either
 // sendBegun, by the writer, or sendWithdrawn, by a caller that gives up; the writer then
 // skips the call's frame.
 const (
-	departureQueued int32 = iota
-	departureBegun
-	departureWithdrawn
+	sendQueued int32 = iota
+	sendBegun
+	sendWithdrawn
 )
 
 // beginSend is called before the first byte is written. It returns false if the call
 // was withdrawn and must not be sent.
-func (s *stream) begin() bool {
-	return s.departure.CompareAndSwap(departureQueued, departureBegun)
+func (s *stream) beginSend() bool {
+	return s.sendState.CompareAndSwap(sendQueued, sendBegun)
 }
 
 // withdraw prevents the call from being sent. It returns false if sending has begun, so
 // that the peer may have received the call.
 func (s *stream) withdraw() bool {
-	return s.departure.CompareAndSwap(departureQueued, departureWithdrawn)
+	return s.sendState.CompareAndSwap(sendQueued, sendWithdrawn)
 }
 
 func newStream(c *connection, id uint32) *stream {
 	s := &stream{
-		connection: c,
-		id:         id,
-		head:       make(chan message.Response, 1),
-		chunks:     make(chan []byte, windowChunks),
-		credits:    make(chan struct{}, windowChunks),
-		done:       make(chan struct{}),
-		ended:      make(chan struct{}),
+		connection:  c,
+		id:          id,
+		head:        make(chan message.Response, 1),
+		chunks:      make(chan []byte, windowChunks),
+		credits:     make(chan struct{}, windowChunks),
+		done:        make(chan struct{}),
+		endReceived: make(chan struct{}),
 	}
 	for range windowChunks {
 		s.credits <- struct{}{}
@@ -80,31 +81,31 @@
 
 // fail ends the call with err. Only the first call of fail has an effect.
 func (s *stream) fail(err error) {
-	s.once.Do(func() {
+	s.failOnce.Do(func() {
 		s.err = err
 		close(s.done)
-		if s.left != nil {
-			s.left()
+		if s.cancelServing != nil {
+			s.cancelServing()
 		}
 	})
 }
 
 // handleFrame handles a frame from the peer. The caller closes the connection on an
 // error.
-func (s *stream) take(f frame) error {
+func (s *stream) handleFrame(f frame) error {
 	switch f.Kind {
 	case frameAnswer:
-		return s.takeHead(f.Payload)
+		return s.handleHead(f.Payload)
 	case frameWhole:
-		return s.takeWhole(f.Payload)
+		return s.handleCompleteResponse(f.Payload)
 	case frameBody:
-		return s.takeChunk(f.Payload)
+		return s.handleChunk(f.Payload)
 	case frameCredit:
-		return s.takeCredit()
+		return s.handleCredit()
 	case frameEnd:
-		return s.takeEnd(f.Payload)
+		return s.handleEnd(f.Payload)
 	case frameReset:
-		s.connection.forget(s.id)
+		s.connection.removeStream(s.id)
 		s.fail(ErrTruncated)
 		return nil
 	default:
@@ -112,15 +113,15 @@
 	}
 }
 
-func (s *stream) takeHead(payload []byte) error {
+func (s *stream) handleHead(payload []byte) error {
 	var head message.Response
 	if err := decode(payload, &head); err != nil {
 		return err
 	}
-	return s.answer(head)
+	return s.deliverHead(head)
 }
 
-func (s *stream) answer(head message.Response) error {
+func (s *stream) deliverHead(head message.Response) error {
 	select {
 	case s.head <- head:
 		return nil
@@ -131,25 +132,25 @@
 
 // handleCompleteResponse handles a response in one frame. The head is delivered last,
 // so that body and end are available to the goroutine that waits for the head.
-func (s *stream) takeWhole(payload []byte) error {
-	var whole wholeAnswer
-	if err := decode(payload, &whole); err != nil {
+func (s *stream) handleCompleteResponse(payload []byte) error {
+	var response completeResponse
+	if err := decode(payload, &response); err != nil {
 		return err
 	}
-	if len(whole.Body) > 0 {
-		if err := s.takeChunk(whole.Body); err != nil {
+	if len(response.Body) > 0 {
+		if err := s.handleChunk(response.Body); err != nil {
 			return err
 		}
 	}
-	if err := s.finish(whole.End); err != nil {
+	if err := s.setEnd(response.End); err != nil {
 		return err
 	}
-	return s.answer(whole.Head)
+	return s.deliverHead(response.Head)
 }
 
-func (s *stream) takeChunk(payload []byte) error {
+func (s *stream) handleChunk(payload []byte) error {
 	select {
-	case <-s.ended:
+	case <-s.endReceived:
 		return &FrameError{Reason: "body chunk after the end frame"}
 	default:
 	}
@@ -161,7 +162,7 @@
 	}
 }
 
-func (s *stream) takeCredit() error {
+func (s *stream) handleCredit() error {
 	select {
 	case s.credits <- struct{}{}:
 		return nil
@@ -170,66 +171,66 @@
 	}
 }
 
-func (s *stream) takeEnd(payload []byte) error {
+func (s *stream) handleEnd(payload []byte) error {
 	var end message.ResponseEnd
 	if err := decode(payload, &end); err != nil {
 		return err
 	}
-	return s.finish(end)
+	return s.setEnd(end)
 }
 
 // setEnd records that the peer's body is complete.
-func (s *stream) finish(end message.ResponseEnd) error {
-	if s.endTaken.Swap(true) {
+func (s *stream) setEnd(end message.ResponseEnd) error {
+	if s.hasEnd.Swap(true) {
 		return &FrameError{Reason: "second end frame for one body"}
 	}
 	s.end = end
-	close(s.ended)
+	close(s.endReceived)
 	return nil
 }
 
 // Read implements io.Reader for the body that the peer sends. It returns
 // io.EOF only after the peer's end frame.
 func (s *stream) Read(p []byte) (int, error) {
-	if len(s.rest) == 0 {
+	if len(s.unread) == 0 {
 		chunk, err := s.nextChunk()
 		if err != nil {
 			return 0, err
 		}
-		s.rest = chunk
+		s.unread = chunk
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
 func (s *stream) nextChunk() ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
-		return s.consumed(chunk)
+		return s.sendCredit(chunk)
 	default:
 	}
 	select {
 	case chunk := <-s.chunks:
-		return s.consumed(chunk)
-	case <-s.ended:
-		return s.lastChunk()
+		return s.sendCredit(chunk)
+	case <-s.endReceived:
+		return s.remainingChunk()
 	case <-s.done:
-		return s.chunkOr(s.err)
+		return s.chunkOrError(s.err)
 	}
 }
 
 // chunkOrError returns a chunk that arrived before the call ended, else io.EOF if the
 // body is complete, else err. A complete response thus stays readable after the
 // connection has closed.
-func (s *stream) chunkOr(err error) ([]byte, error) {
+func (s *stream) chunkOrError(err error) ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
 		return chunk, nil
 	default:
 	}
 	select {
-	case <-s.ended:
+	case <-s.endReceived:
 		return nil, io.EOF
 	default:
 		return nil, err
@@ -238,7 +239,7 @@
 
 // remainingChunk returns a chunk that arrived before the end frame, or io.EOF if all
 // were read.
-func (s *stream) lastChunk() ([]byte, error) {
+func (s *stream) remainingChunk() ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
 		return chunk, nil
@@ -250,9 +251,9 @@
 // sendCredit allows the peer to send another chunk, and returns the given one. It sends
 // no credit if the peer has sent its last chunk: most bodies are a single chunk, and
 // the credit would wake up the peer for nothing.
-func (s *stream) consumed(chunk []byte) ([]byte, error) {
+func (s *stream) sendCredit(chunk []byte) ([]byte, error) {
 	select {
-	case <-s.ended:
+	case <-s.endReceived:
 		return chunk, nil
 	default:
 	}
--- a/io/peer/timed.go
+++ b/io/peer/timed.go
@@ -8,20 +8,20 @@
 
 // writeDeadlineConn sets a deadline of writeTimeout for every write, so that a peer that
 // stops reading cannot block the writer goroutine forever.
-type timedConn struct{ net.Conn }
+type writeDeadlineConn struct{ net.Conn }
 
 // CloseWrite closes the sending direction. It returns errors.ErrUnsupported if the
 // underlying connection cannot do that.
-func (c *timedConn) CloseWrite() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+func (c *writeDeadlineConn) CloseWrite() error {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	return half.CloseWrite()
+	return halfCloser.CloseWrite()
 }
 
 // Write implements net.Conn.
-func (c *timedConn) Write(p []byte) (int, error) {
+func (c *writeDeadlineConn) Write(p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -65,28 +65,28 @@
 // Transport connects a node with its peers. Create it with NewTransport. It is
 // safe for concurrent use.
 type Transport struct {
-	self    coltsfootward.Instance
-	clock   func() coltsfootward.Instant
-	handler Handler
-	once    sync.Once
-	wait    sync.WaitGroup
+	self       coltsfootward.Instance
+	clock      func() coltsfootward.Instant
+	handler    Handler
+	closeOnce  sync.Once
+	goroutines sync.WaitGroup
 	// closing is cancelled when the transport is closed, which aborts pending dials and
 	// handshakes.
-	ending context.Context
-	end    context.CancelFunc
+	closing       context.Context
+	cancelClosing context.CancelFunc
 	// calls runs the goroutines that serve the calls of peers.
 	calls *worker.Pool
 
-	mu       sync.Mutex
-	listener net.Listener
-	dialled  map[coltsfootward.InstanceID]*dialled
-	accepted map[*connection]struct{}
+	mu          sync.Mutex
+	listener    net.Listener
+	dialEntries map[coltsfootward.InstanceID]*dialEntry
+	accepted    map[*connection]struct{}
 	// outbound holds every connection that this node dialled, including those that were
 	// replaced by a newer one to the same peer.
 	outbound map[*connection]struct{}
 	closed   bool
 	// serving is the number of calls being served; whenIdle is closed when it reaches
-	// zero. They are not a sync.WaitGroup because new calls may arrive while Shutdown
+	// zero. A sync.WaitGroup cannot be used because new calls may arrive while Shutdown
 	// waits.
 	serving  int
 	whenIdle chan struct{}
@@ -96,30 +96,30 @@
 // listener is nil, the transport only dials.
 func NewTransport(self coltsfootward.Instance, clock func() coltsfootward.Instant, handler Handler, listener net.Listener) *Transport {
 	t := &Transport{
-		self:     self,
-		clock:    clock,
-		handler:  handler,
-		listener: listener,
-		dialled:  make(map[coltsfootward.InstanceID]*dialled),
-		accepted: make(map[*connection]struct{}),
-		outbound: make(map[*connection]struct{}),
-		calls:    worker.NewPool(),
+		self:        self,
+		clock:       clock,
+		handler:     handler,
+		listener:    listener,
+		dialEntries: make(map[coltsfootward.InstanceID]*dialEntry),
+		accepted:    make(map[*connection]struct{}),
+		outbound:    make(map[*connection]struct{}),
+		calls:       worker.NewPool(),
 	}
-	t.ending, t.end = context.WithCancel(context.Background())
+	t.closing, t.cancelClosing = context.WithCancel(context.Background())
 	if listener != nil {
-		t.wait.Go(t.accept)
+		t.goroutines.Go(t.acceptLoop)
 	}
-	t.wait.Go(t.maintain)
+	t.goroutines.Go(t.maintain)
 	return t
 }
 
 // Close closes the listener and all connections and waits for their goroutines.
 func (t *Transport) Close() {
-	t.once.Do(func() {
+	t.closeOnce.Do(func() {
 		t.mu.Lock()
 		t.closed = true
 		t.mu.Unlock()
-		t.end()
+		t.cancelClosing()
 		if t.listener != nil {
 			t.listener.Close()
 		}
@@ -127,7 +127,7 @@
 			c.close()
 		}
 	})
-	t.wait.Wait()
+	t.goroutines.Wait()
 	t.calls.Close()
 }
 
@@ -137,7 +137,7 @@
 // response: the last bytes of a response may still be in a write queue when the node's
 // state machine has finished all requests.
 func (t *Transport) Shutdown(ctx context.Context) {
-	t.takeLeave(ctx)
+	t.announceShutdown(ctx)
 	select {
 	case <-t.idle():
 	case <-ctx.Done():
@@ -146,7 +146,7 @@
 	defer cancel()
 	var finishing sync.WaitGroup
 	for _, c := range t.connections() {
-		finishing.Go(func() { c.finish(ctx) })
+		finishing.Go(func() { c.shutdown(ctx) })
 	}
 	finishing.Wait()
 }
@@ -164,24 +164,24 @@
 	return all
 }
 
-func (t *Transport) accept() {
+func (t *Transport) acceptLoop() {
 	for {
 		c, err := t.listener.Accept()
 		if err != nil {
 			return
 		}
-		t.wait.Go(func() { t.serve(c) })
+		t.goroutines.Go(func() { t.serveConnection(c) })
 	}
 }
 
 // serveConnection runs an accepted connection until it closes.
-func (t *Transport) serve(n net.Conn) {
-	release := t.closeAtEnd(n)
-	c, reader, err := t.welcome(n)
+func (t *Transport) serveConnection(n net.Conn) {
+	release := t.closeWithTransport(n)
+	c, reader, err := t.serverHandshake(n)
 	release()
 	if err != nil {
 		n.Close()
-		t.rejected(n.RemoteAddr().String(), err)
+		t.reportRejected(n.RemoteAddr().String(), err)
 		return
 	}
 	t.mu.Lock()
@@ -195,23 +195,24 @@
 		t.handler.PeerLost(c.remote)
 	}()
 	select {
-	case <-t.ending.Done():
+	case <-t.closing.Done():
 		return
 	default:
 	}
 	t.handler.PeerConnected(c.remote)
-	t.wait.Go(c.write)
-	t.read(c, reader)
+	t.goroutines.Go(c.writeLoop)
+	t.readLoop(c, reader)
 }
 
 // closeWithTransport closes a connection when the transport closes, until release is
 // called. It covers the handshake, during which the connection is not registered yet.
-func (t *Transport) closeAtEnd(n net.Conn) (release func()) {
-	stop := context.AfterFunc(t.ending, func() { n.Close() })
+func (t *Transport) closeWithTransport(n net.Conn) (release func()) {
+	stop := context.AfterFunc(t.closing, func() { n.Close() })
 	return func() { stop() }
 }
 
-func (t *Transport) rejected(address string, err error) {
+// reportRejected reports err to the handler if it is a *FrameError.
+func (t *Transport) reportRejected(address string, err error) {
 	var invalid *FrameError
 	if errors.As(err, &invalid) {
 		t.handler.FrameRejected(address, err)
@@ -219,21 +220,21 @@
 }
 
 // readLoop reads and handles frames until the connection fails.
-func (t *Transport) read(c *connection, reader *bufio.Reader) {
+func (t *Transport) readLoop(c *connection, reader *bufio.Reader) {
 	frames := newFrameReader(reader)
 	for {
 		f, err := frames.read()
 		if err == nil {
-			err = t.take(c, f)
+			err = t.handleFrame(c, f)
 		}
 		if err != nil {
-			t.rejected(c.net.RemoteAddr().String(), err)
+			t.reportRejected(c.net.RemoteAddr().String(), err)
 			return
 		}
 	}
 }
 
-func (t *Transport) take(c *connection, f frame) error {
+func (t *Transport) handleFrame(c *connection, f frame) error {
 	switch f.Kind {
 	case framePing:
 		var p probe
@@ -243,15 +244,15 @@
 		c.trySend(framePong, f.Payload)
 		return nil
 	case framePong:
-		return c.pong(f)
+		return c.handlePong(f)
 	case frameGoodbye:
-		c.takeGoodbye()
+		c.handleGoodbye()
 		return nil
 	case frameNoMoreCalls:
-		c.takeNoMoreCalls()
+		c.handleNoMoreCalls()
 		return nil
 	case frameMessage:
-		c.heard.Store(true)
+		c.receivedSinceProbe.Store(true)
 		m, err := decodeMessage(f.Payload)
 		if err != nil {
 			return err
@@ -259,16 +260,16 @@
 		t.handler.ServeMessage(c.remote, m, c.age(f))
 		return nil
 	case frameCall:
-		c.heard.Store(true)
-		return t.takeCall(c, f)
+		c.receivedSinceProbe.Store(true)
+		return t.handleCall(c, f)
 	case frameAnswer, frameWhole, frameBody, frameCredit, frameEnd, frameReset:
-		return c.streamFrame(f)
+		return c.handleStreamFrame(f)
 	default:
 		return &FrameError{Reason: "unexpected frame " + string(f.Kind)}
 	}
 }
 
-func (t *Transport) takeCall(c *connection, f frame) error {
+func (t *Transport) handleCall(c *connection, f frame) error {
 	var head message.Call
 	if err := decode(f.Payload, &head); err != nil {
 		return err
@@ -295,6 +296,7 @@
 	return nil
 }
 
+// countServing adds change to the number of calls being served.
 func (t *Transport) countServing(change int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -346,11 +348,11 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case <-t.ending.Done():
+		case <-t.closing.Done():
 			return
 		case <-ticker.C:
 		}
-		t.probeAll()
+		t.probeActivePeers()
 		t.closeIdle()
 	}
 }
@@ -359,7 +361,7 @@
 // the last probe. The clock offset of the others is known well enough for their next
 // frame, and with hundreds of silent connections the probes would be most of a node's
 // work.
-func (t *Transport) probeAll() {
+func (t *Transport) probeActivePeers() {
 	payload, err := encode(&probe{Probe: int64(t.clock().Expiry)})
 	if err != nil {
 		return
@@ -367,7 +369,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.accepted {
-		if c.heard.Swap(false) {
+		if c.receivedSinceProbe.Swap(false) {
 			c.trySend(framePing, payload)
 		}
 	}
@@ -378,7 +380,7 @@
 		t.mu.Lock()
 		_, inbound := t.accepted[c]
 		t.mu.Unlock()
-		if !inbound && c.idle() > idleTimeout {
+		if !inbound && c.idleTime() > idleTimeout {
 			c.close()
 		}
 	}
@@ -393,6 +395,6 @@
 	if t.closed {
 		return false
 	}
-	t.wait.Go(f)
+	t.goroutines.Go(f)
 	return true
 }
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -22,8 +22,8 @@
 	"go.uber.org/goleak"
 )
 
-// wait is the time after which a test that waits for an event fails.
-const wait = 30 * time.Second
+// waitTimeout is the time after which a test that waits for an event fails.
+const waitTimeout = 30 * time.Second
 
 // handler serves calls by a function and records served requests and rejected frames.
 type handler struct {
@@ -67,14 +67,14 @@
 }
 
 // faultyListener is a listener whose connections a test can stall and close.
-type breakable struct {
+type faultyListener struct {
 	net.Listener
 	mu      sync.Mutex
 	conns   []net.Conn
 	stalled chan struct{}
 }
 
-func (l *breakable) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -82,11 +82,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns = append(l.conns, c)
-	return &stalling{TCPConn: c.(*net.TCPConn), listener: l}, nil
+	return &stallingConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
 }
 
 // stall blocks all reads until the returned function is called.
-func (l *breakable) stall() func() {
+func (l *faultyListener) stall() func() {
 	stalled := make(chan struct{})
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *breakable) breakAll() {
+func (l *faultyListener) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
@@ -108,12 +108,12 @@
 	l.conns = nil
 }
 
-type stalling struct {
+type stallingConn struct {
 	*net.TCPConn
-	listener *breakable
+	listener *faultyListener
 }
 
-func (c *stalling) Read(p []byte) (int, error) {
+func (c *stallingConn) Read(p []byte) (int, error) {
 	c.listener.mu.Lock()
 	stalled := c.listener.stalled
 	c.listener.mu.Unlock()
@@ -123,21 +123,21 @@
 	return c.TCPConn.Read(p)
 }
 
-// pair is a client transport that sends calls and a server transport that serves them.
-type pair struct {
+// transportPair is a client transport that sends calls and a server transport that serves them.
+type transportPair struct {
 	client, server *peer.Transport
 	instance       coltsfootward.Instance
-	listener       *breakable
+	listener       *faultyListener
 	handler        *handler
 }
 
-func newPair(t testing.TB, serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)) *pair {
+func newPair(t testing.TB, serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)) *transportPair {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("listen: %v", err)
 	}
-	p := &pair{listener: &breakable{Listener: l}, handler: &handler{serve: serve}}
+	p := &transportPair{listener: &faultyListener{Listener: l}, handler: &handler{serve: serve}}
 	p.instance = coltsfootward.Instance{ID: "server", Address: l.Addr().String()}
 	p.server = peer.NewTransport(p.instance, loop.NewClock().Now, p.handler, p.listener)
 	p.client = peer.NewTransport(coltsfootward.Instance{ID: "client"}, loop.NewClock().Now, &handler{}, nil)
@@ -148,9 +148,9 @@
 	return p
 }
 
-// body returns the response body for a path. Its length depends on the path and is up to
+// responseBody returns the response body for a path. Its length depends on the path and is up to
 // several flow-control windows.
-func body(path string) []byte {
+func responseBody(path string) []byte {
 	seed := uint64(len(path))
 	for _, r := range path {
 		seed = seed*31 + uint64(r)
@@ -162,9 +162,9 @@
 	return bytes.Repeat([]byte(path+"|"), size/(len(path)+1)+1)
 }
 
-// answerBody responds after a random time with the request's body followed by the body
+// respondWithBody responds after a random time with the request's body followed by the body
 // for the path.
-func answerBody(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func respondWithBody(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 	sent, err := io.ReadAll(call.Body)
 	if err != nil {
 		return
@@ -177,7 +177,7 @@
 	if w.Head(message.Response{Status: 200}) != nil {
 		return
 	}
-	if _, err := w.Write(append(sent, body(call.Head.Path)...)); err != nil {
+	if _, err := w.Write(append(sent, responseBody(call.Head.Path)...)); err != nil {
 		return
 	}
 	_ = w.End(message.ResponseEnd{Attempts: 1})
@@ -187,26 +187,26 @@
 // cancel calls in the middle, and the connection fails and is dialled again. A caller
 // that received the response to another call, or a truncated response as a complete
 // one, would act on a wrong quote.
-func TestManyCallsGetTheirOwnWholeAnswers(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnCompleteResponses(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	p := newPair(t, answerBody)
+	p := newPair(t, respondWithBody)
 	defer p.server.Close()
 	defer p.client.Close()
-	var whole, broken atomic.Int64
+	var complete, failed atomic.Int64
 	var group sync.WaitGroup
 	done := make(chan struct{})
 	for caller := range 24 {
 		group.Go(func() {
 			for i := range 40 {
 				err := p.check(fmt.Sprintf("/%d/%d", caller, i), rand.IntN(4) == 0)
-				if err != nil && !errors.Is(err, errBroken) {
+				if err != nil && !errors.Is(err, errCallFailed) {
 					t.Error(err)
 				}
 				if err != nil {
-					broken.Add(1)
+					failed.Add(1)
 					continue
 				}
-				whole.Add(1)
+				complete.Add(1)
 			}
 		})
 	}
@@ -217,40 +217,40 @@
 			case <-done:
 				return
 			case <-time.After(50 * time.Millisecond):
-				p.listener.breakAll()
+				p.listener.closeAll()
 			}
 		}
 	})
 	group.Wait()
 	close(done)
 	breaker.Wait()
-	if whole.Load() == 0 {
+	if complete.Load() == 0 {
 		t.Error("no response was complete")
 	}
-	t.Logf("%d complete responses, %d failed calls", whole.Load(), broken.Load())
+	t.Logf("%d complete responses, %d failed calls", complete.Load(), failed.Load())
 }
 
-var errBroken = errors.New("call failed")
+var errCallFailed = errors.New("call failed")
 
 // check makes one call and compares the response, if complete, with the expected one. It
 // returns errCallFailed if there is no complete response.
-func (p *pair) check(path string, leave bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+func (p *transportPair) check(path string, cancelEarly bool) error {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	sent := []byte(strings.Repeat(path, 1+len(path)*rand.IntN(400)))
-	if leave {
+	if cancelEarly {
 		time.AfterFunc(rand.N(3*time.Millisecond), cancel)
 	}
-	answer, err := p.client.Call(ctx, p.instance, message.Call{Path: path}, sent)
+	response, err := p.client.Call(ctx, p.instance, message.Call{Path: path}, sent)
 	if err != nil {
-		return errBroken
+		return errCallFailed
 	}
-	defer answer.Close()
-	got, err := io.ReadAll(answer)
+	defer response.Close()
+	got, err := io.ReadAll(response)
 	if err != nil {
-		return errBroken
+		return errCallFailed
 	}
-	if want := append(sent, body(path)...); !bytes.Equal(got, want) {
+	if want := append(sent, responseBody(path)...); !bytes.Equal(got, want) {
 		return fmt.Errorf("%s: got a complete response of %d bytes that is not the expected one of %d bytes", path, len(got), len(want))
 	}
 	return nil
@@ -260,8 +260,8 @@
 // Since Call reports that the call was not sent, the entry node retries it at another
 // instance or responds "not run". When the peer then resumes reading, the call must not
 // be executed after all.
-func TestCallGivenUpInTheRingNeverLeaves(t *testing.T) {
-	p := newPair(t, answerBody)
+func TestCallWithdrawnFromQueueIsNeverSent(t *testing.T) {
+	p := newPair(t, respondWithBody)
 	if err := p.check("/first", false); err != nil {
 		t.Fatalf("first call: %v", err)
 	}
@@ -299,10 +299,10 @@
 // A caller with a slow network connection reads a large download slowly. If the peer
 // connection's reader goroutine waited for that caller, every other call to the peer
 // would stall.
-func TestSlowReaderStallsNoOtherCall(t *testing.T) {
+func TestSlowReaderDoesNotStallOtherCalls(t *testing.T) {
 	p := newPair(t, func(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
 		if call.Head.Path != "/endless" {
-			answerBody(ctx, call, w)
+			respondWithBody(ctx, call, w)
 			return
 		}
 		_ = w.Head(message.Response{Status: 200})
@@ -328,7 +328,7 @@
 
 // A node shuts down right after the last response was queued for its connection. The
 // caller that waits for the end of a download must still receive the complete response.
-func TestShutdownDeliversLastAnswer(t *testing.T) {
+func TestShutdownDeliversLastResponse(t *testing.T) {
 	want := bytes.Repeat([]byte("x"), 200<<10) // fits into the flow-control window without a read
 	for range 20 {
 		queued := make(chan struct{})
@@ -338,19 +338,19 @@
 			_ = w.End(message.ResponseEnd{Attempts: 1})
 			close(queued)
 		})
-		answer, err := p.client.Call(context.Background(), p.instance, message.Call{Path: "/last"}, nil)
+		response, err := p.client.Call(context.Background(), p.instance, message.Call{Path: "/last"}, nil)
 		if err != nil {
 			t.Fatalf("call: %v", err)
 		}
 		<-queued
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		p.server.Shutdown(ctx)
 		cancel()
 		p.server.Close()
-		got, err := io.ReadAll(answer)
+		got, err := io.ReadAll(response)
 		if err != nil || !bytes.Equal(got, want) {
 			t.Fatalf("got %d bytes and error %v, want the complete response of %d bytes", len(got), err, len(want))
 		}
-		answer.Close()
+		response.Close()
 	}
 }
--- a/io/wire/body.go
+++ b/io/wire/body.go
@@ -8,18 +8,18 @@
 
 // pooledSize is the size in bytes of the pooled buffer that a body is first read into.
 // Most requests have no body, and most other bodies fit.
-const firstRead = 16 << 10
+const pooledSize = 16 << 10
 
 // bufferPool holds buffers for reuse.
-var firstBuffers = sync.Pool{New: func() any { return new([firstRead]byte) }}
+var bufferPool = sync.Pool{New: func() any { return new([pooledSize]byte) }}
 
 // ReadBody reads a body up to its end, but at most limit bytes. It returns no error for
 // a longer body, so a caller that wants to detect one passes a limit one byte above
 // the maximum. An empty body allocates no memory.
-func ReadBody(r io.Reader, most int64) ([]byte, error) {
-	pooled := firstBuffers.Get().(*[firstRead]byte)
-	defer firstBuffers.Put(pooled)
-	limited := io.LimitReader(r, most)
+func ReadBody(r io.Reader, limit int64) ([]byte, error) {
+	pooled := bufferPool.Get().(*[pooledSize]byte)
+	defer bufferPool.Put(pooled)
+	limited := io.LimitReader(r, limit)
 	n := 0
 	for n < len(pooled) {
 		read, err := limited.Read(pooled[n:])
@@ -33,6 +33,6 @@
 			return nil, err
 		}
 	}
-	rest, err := io.ReadAll(limited)
-	return append(append(make([]byte, 0, n+len(rest)), pooled[:n]...), rest...), err
+	remainder, err := io.ReadAll(limited)
+	return append(append(make([]byte, 0, n+len(remainder)), pooled[:n]...), remainder...), err
 }
--- a/io/wire/body_test.go
+++ b/io/wire/body_test.go
@@ -25,11 +25,11 @@
 
 // A caller disconnects while it sends the body of an order. If the part that arrived
 // were taken for the complete body, a different order would be forwarded.
-func TestReadBodyThatBreaksOff(t *testing.T) {
+func TestReadBodyTruncated(t *testing.T) {
 	for _, err := range []error{io.ErrClosedPipe, io.ErrUnexpectedEOF} {
 		for _, size := range []int{0, 5, 20 << 10} {
-			broken := io.MultiReader(bytes.NewReader(make([]byte, size)), iotest.ErrReader(err))
-			if _, got := wire.ReadBody(broken, 1<<20); !errors.Is(got, err) {
+			truncated := io.MultiReader(bytes.NewReader(make([]byte, size)), iotest.ErrReader(err))
+			if _, got := wire.ReadBody(truncated, 1<<20); !errors.Is(got, err) {
 				t.Errorf("%d bytes, then %v: got error %v", size, err, got)
 			}
 		}
--- a/io/wire/limit.go
+++ b/io/wire/limit.go
@@ -13,22 +13,22 @@
 type LimitedReader struct {
 	Source    io.Reader
 	remaining int64
-	bounded   bool
+	limited   bool
 }
 
 // Bound limits the bytes that are read from now on to n. Further reads fail with
 // ErrTooLarge.
 func (r *LimitedReader) Bound(n int64) {
 	r.remaining = n
-	r.bounded = true
+	r.limited = true
 }
 
 // Unbound removes the limit.
-func (r *LimitedReader) Unbound() { r.bounded = false }
+func (r *LimitedReader) Unbound() { r.limited = false }
 
 // Read implements io.Reader.
 func (r *LimitedReader) Read(p []byte) (int, error) {
-	if !r.bounded {
+	if !r.limited {
 		return r.Source.Read(p)
 	}
 	if r.remaining <= 0 {
--- a/io/wire/wire.go
+++ b/io/wire/wire.go
@@ -47,7 +47,7 @@
 
 // hopByHopFields apply to one connection only (RFC 9110) and are not forwarded. Expect
 // is handled by the node that reads the body.
-var hopFields = map[string]bool{
+var hopByHopFields = map[string]bool{
 	"Expect": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
@@ -55,7 +55,7 @@
 // HopField reports whether a field is hop-by-hop, either by its name or because the
 // Connection field of h lists it.
 func HopField(h http.Header, name string) bool {
-	if hopFields[name] {
+	if hopByHopFields[name] {
 		return true
 	}
 	for _, value := range h["Connection"] {
@@ -72,18 +72,18 @@
 // server: all except the hop-by-hop fields, the caller's API key, and the fields that
 // nodes set themselves, whose values from the caller are ignored.
 func (f Fields) PassedOn(h http.Header) map[string][]string {
-	passed := make(map[string][]string, len(h))
+	forwarded := make(map[string][]string, len(h))
 	for name, values := range h {
-		if HopField(h, name) || f.own(name) || name == "Authorization" && bearerOnly(values) {
+		if HopField(h, name) || f.setByNodes(name) || name == "Authorization" && hasBearer(values) {
 			continue
 		}
-		passed[name] = values
+		forwarded[name] = values
 	}
-	return passed
+	return forwarded
 }
 
 // setByNodes reports whether nodes set the field themselves.
-func (f Fields) own(name string) bool {
+func (f Fields) setByNodes(name string) bool {
 	switch name {
 	case f.Deadline, f.Organisation, f.Expected, f.Caller, "Content-Length":
 		return true
@@ -92,7 +92,7 @@
 	}
 }
 
-func bearerOnly(values []string) bool {
+func hasBearer(values []string) bool {
 	for _, value := range values {
 		if scheme, _, _ := strings.Cut(value, " "); strings.EqualFold(scheme, "Bearer") {
 			return true
@@ -104,12 +104,12 @@
 // AnswerFields returns the header fields of a backend server's response that are relayed
 // to the caller: all except the hop-by-hop fields and those meant for the node.
 func (f Fields) AnswerFields(h http.Header) map[string][]string {
-	passed := make(map[string][]string, len(h))
+	relayed := make(map[string][]string, len(h))
 	for name, values := range h {
 		if HopField(h, name) || name == f.Load || name == f.Backend || name == f.NotRun {
 			continue
 		}
-		passed[name] = values
+		relayed[name] = values
 	}
-	return passed
+	return relayed
 }
