--- a/io/peer/handshake.go
+++ b/io/peer/handshake.go
@@ -56,7 +56,7 @@
 		return h, err
 	}
 	if f.Kind != frameHello {
-		return h, &FrameError{Reason: "the first frame is not a hello"}
+		return h, &FrameError{Reason: "first frame is no hello"}
 	}
 	return h, decode(f.Payload, &h)
 }
