--- a/cmd/coltsload/cost.go
+++ b/cmd/coltsload/cost.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// cost measures what calls cost the nodes.
+// cost measures the resources that nodes use for calls.
 type cost struct {
 	Program  string        `long:"program" required:"yes" description:"the node's executable, coltsfootward"`
 	Nodes    int           `long:"nodes" default:"4" description:"node processes, 2 to 30"`
@@ -26,31 +26,31 @@
 	Profile  string        `long:"profile" description:"directory for a processor and an allocation profile of node 0 at the last rate"`
 }
 
-// The bounds of a fleet on one machine.
+// The limits of the number of nodes on one machine.
 const (
-	fewestNodes = 2
-	mostNodes   = 30
+	minNodes = 2
+	maxNodes = 30
 )
 
-// costRow is what one rate cost, over all nodes.
-type costRow struct {
+// costResult is the result of one rate, over all nodes.
+type costResult struct {
 	Rate      int            `json:"rate"`
 	Calls     int            `json:"calls"`
 	Failed    map[string]int `json:"failed,omitempty"`
 	P50       time.Duration  `json:"p50_nanoseconds"`
 	P99       time.Duration  `json:"p99_nanoseconds"`
-	PerSecond costUnits      `json:"per_node_second"`
-	// PerCall is nil at rest.
-	PerCall *costUnits `json:"per_call,omitempty"`
+	PerSecond resourceUsage  `json:"per_node_second"`
+	// PerCall is nil if no calls were made.
+	PerCall *resourceUsage `json:"per_call,omitempty"`
 }
 
 // Execute implements flags.Commander.
 func (c *cost) Execute([]string) error {
-	if c.Nodes < fewestNodes || c.Nodes > mostNodes {
-		return fmt.Errorf("coltsload: --nodes %d: choose %d to %d", c.Nodes, fewestNodes, mostNodes)
+	if c.Nodes < minNodes || c.Nodes > maxNodes {
+		return fmt.Errorf("coltsload: --nodes %d: choose %d to %d", c.Nodes, minNodes, maxNodes)
 	}
 	if c.Duration <= 0 || c.Warm < 0 {
-		return errors.New("coltsload: --duration must be above zero, --warm not below it")
+		return errors.New("coltsload: --duration must be positive, --warm must not be negative")
 	}
 	for _, rate := range c.Rates {
 		if rate < 0 {
@@ -87,45 +87,46 @@
 			}
 			continue
 		}
-		row.write(w)
+		row.writeRows(w)
 	}
 	return w.Flush()
 }
 
-// measureRate holds a rate and returns what it cost.
-func (c *cost) measureRate(f *costFleet, rate int, profiled bool) (costRow, error) {
-	callers := f.callers(c.Refused)
+// measureRate makes calls at a rate, first for the warm-up and then for the
+// measurement, and returns the resources used during the measurement.
+func (c *cost) measureRate(f *costFleet, rate int, profiled bool) (costResult, error) {
+	callers := f.newCallers(c.Refused)
 	defer callers.close()
-	callers.hold(plan{rate: rate, duration: c.Warm, seed: c.Seed})
-	before, err := f.used()
+	callers.run(plan{rate: rate, duration: c.Warm, seed: c.Seed})
+	before, err := f.usage()
 	if err != nil {
-		return costRow{}, err
+		return costResult{}, err
 	}
 	var wait sync.WaitGroup
-	var failed error
+	var profileErr error
 	if profiled {
-		wait.Go(func() { failed = f.profile(c.Profile, c.Duration) })
+		wait.Go(func() { profileErr = f.writeProfiles(c.Profile, c.Duration) })
 	}
-	m := callers.hold(plan{rate: rate, duration: c.Duration, seed: c.Seed + 1})
-	after, err := f.used()
+	m := callers.run(plan{rate: rate, duration: c.Duration, seed: c.Seed + 1})
+	after, err := f.usage()
 	wait.Wait()
-	if err := errors.Join(err, failed); err != nil {
-		return costRow{}, err
+	if err := errors.Join(err, profileErr); err != nil {
+		return costResult{}, err
 	}
 	used := after.minus(before)
-	row := costRow{Rate: rate, Calls: m.calls, Failed: m.failed, P50: m.quantile(50), P99: m.quantile(99),
-		PerSecond: used.per(float64(c.Nodes) * c.Duration.Seconds())}
+	row := costResult{Rate: rate, Calls: m.calls, Failed: m.failed, P50: m.quantile(50), P99: m.quantile(99),
+		PerSecond: used.dividedBy(float64(c.Nodes) * c.Duration.Seconds())}
 	if m.calls > 0 {
-		units := used.per(float64(m.calls))
-		row.PerCall = &units
+		perCall := used.dividedBy(float64(m.calls))
+		row.PerCall = &perCall
 	}
 	return row, nil
 }
 
-func (r costRow) write(w io.Writer) {
-	line := func(of string, u costUnits) {
-		fmt.Fprintf(w, "%d\t%d\t%v\t%v\t%s\t%v\t%.1f\t%.0f\t%.1f\t%.1f\t%v\n", r.Rate, r.Calls, r.P50, r.P99, of,
-			u.Processor.Round(time.Microsecond), u.Allocations, u.Allocated, u.Transfers, u.WakeUps, r.Failed)
+func (r costResult) writeRows(w io.Writer) {
+	line := func(unit string, u resourceUsage) {
+		fmt.Fprintf(w, "%d\t%d\t%v\t%v\t%s\t%v\t%.1f\t%.0f\t%.1f\t%.1f\t%v\n", r.Rate, r.Calls, r.P50, r.P99, unit,
+			u.CPUTime.Round(time.Microsecond), u.Allocations, u.AllocatedBytes, u.ReadsAndWrites, u.WakeUps, r.Failed)
 	}
 	line("a node, a second", r.PerSecond)
 	if r.PerCall != nil {
@@ -133,32 +134,32 @@
 	}
 }
 
-// profile writes the profiles of node 0.
-func (f *costFleet) profile(directory string, duration time.Duration) error {
+// writeProfiles writes a CPU and an allocation profile of node 0 to directory.
+func (f *costFleet) writeProfiles(directory string, duration time.Duration) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return fmt.Errorf("coltsload: profile: %w", err)
 	}
 	seconds := max(int(duration.Seconds()), 1)
-	page := func(name, file string) error {
-		return fetch(fmt.Sprintf("http://%s/debug/pprof/%s?seconds=%d", f.nodes[0].Ports().Operators, name, seconds), filepath.Join(directory, file))
+	fetchProfile := func(name, file string) error {
+		return download(fmt.Sprintf("http://%s/debug/pprof/%s?seconds=%d", f.nodes[0].Ports().Operators, name, seconds), filepath.Join(directory, file))
 	}
-	var processor, allocations error
+	var cpuErr, allocErr error
 	var wait sync.WaitGroup
-	wait.Go(func() { processor = page("profile", "processor.pprof") })
-	wait.Go(func() { allocations = page("allocs", "allocations.pprof") })
+	wait.Go(func() { cpuErr = fetchProfile("profile", "processor.pprof") })
+	wait.Go(func() { allocErr = fetchProfile("allocs", "allocations.pprof") })
 	wait.Wait()
-	return errors.Join(processor, allocations)
+	return errors.Join(cpuErr, allocErr)
 }
 
-// fetch writes a page to a file.
-func fetch(url, file string) error {
+// download writes the body of a GET response to a file.
+func download(url, file string) error {
 	response, err := http.Get(url)
 	if err != nil {
 		return fmt.Errorf("coltsload: profile: %w", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("coltsload: profile: %s answered %s", url, response.Status)
+		return fmt.Errorf("coltsload: profile: %s returned %s", url, response.Status)
 	}
 	out, err := os.Create(file)
 	if err != nil {
--- a/cmd/coltsload/cost_fleet.go
+++ b/cmd/coltsload/cost_fleet.go
@@ -21,13 +21,14 @@
 	costSlots       = 64
 	costConnections = 256
 	costRate        = 1_000_000
-	// costDeadline is how long a caller waits.
+	// costDeadline is the deadline that callers send with each request.
 	costDeadline = 2 * time.Second
 	costGrace    = 4 * time.Second
 	costNotice   = 300 * time.Millisecond
 )
 
-// costFleet is node processes, with the stand-ins around them in this process.
+// costFleet is a set of node processes, with the stand-ins for the platform and the
+// backend servers in this process.
 type costFleet struct {
 	store    *hosting.Store
 	platform *httptest.Server
@@ -36,7 +37,7 @@
 	servers  []*httptest.Server
 }
 
-// startCostFleet starts nodes that are ready and serve.
+// startCostFleet starts count nodes and waits until all are ready and serve requests.
 func startCostFleet(program, directory string, count int) (*costFleet, error) {
 	f := &costFleet{store: hosting.NewStore()}
 	f.platform = httptest.NewServer(f.store)
@@ -71,7 +72,7 @@
 
 func (f *costFleet) startNode(program, directory string, i int, ports fleet.Ports) error {
 	b := hosting.NewBackend(fmt.Sprintf("i-%d", i), service, "", ports.Backend, costSlots)
-	b.Forget = true
+	b.DiscardRuns = true
 	server := httptest.NewServer(b)
 	f.servers = append(f.servers, server)
 	b.Address = server.Listener.Addr().String()
@@ -93,9 +94,9 @@
 	return nil
 }
 
-// awaitReady waits until every node is ready and serves.
+// awaitReady waits until every node is ready and serves requests.
 func (f *costFleet) awaitReady() error {
-	callers := f.callers(false)
+	callers := f.newCallers(false)
 	defer callers.close()
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		ready := true
@@ -109,11 +110,11 @@
 	return errors.New("coltsload: the nodes were not ready in time: is --program a coltsfootward of this version?")
 }
 
-// used returns what all nodes have used since their start.
-func (f *costFleet) used() (costUnits, error) {
-	var sum costUnits
+// usage returns the resources that all nodes together have used since their start.
+func (f *costFleet) usage() (resourceUsage, error) {
+	var sum resourceUsage
 	for _, n := range f.nodes {
-		u, err := usedBy(n.Process(), n.Ports().Operators)
+		u, err := nodeUsage(n.PID(), n.Ports().Operators)
 		if err != nil {
 			return sum, err
 		}
@@ -137,29 +138,30 @@
 	f.platform.Close()
 }
 
-// costCallers call the nodes in turn.
+// costCallers calls the nodes round-robin.
 type costCallers struct {
 	fleet  *costFleet
 	client *http.Client
-	// key is the callers' key, wanted the status that counts as no failure.
-	key    string
-	wanted int
+	// key is the callers' API key. Responses with any status but wantedStatus count as
+	// failures.
+	key          string
+	wantedStatus int
 }
 
-func (f *costFleet) callers(refused bool) *costCallers {
-	c := &costCallers{fleet: f, client: newClient(), key: key, wanted: http.StatusOK}
+func (f *costFleet) newCallers(refused bool) *costCallers {
+	c := &costCallers{fleet: f, client: newClient(), key: key, wantedStatus: http.StatusOK}
 	if refused {
-		c.key, c.wanted = "key-of-nobody", http.StatusUnauthorized
+		c.key, c.wantedStatus = "key-of-nobody", http.StatusUnauthorized
 	}
 	return c
 }
 
 func (c *costCallers) close() { c.client.CloseIdleConnections() }
 
-// hold makes the calls of a plan.
-func (c *costCallers) hold(p plan) measurement { return openLoop(p, c.call) }
+// run makes the calls of a plan.
+func (c *costCallers) run(p plan) measurement { return openLoop(p, c.call) }
 
-// call makes a call and returns what went wrong with it, or "".
+// call sends one request and returns a label for its failure, or "" if it succeeded.
 func (c *costCallers) call(number int) string {
 	n := c.fleet.nodes[number%len(c.fleet.nodes)]
 	id := uuid.NewString()
@@ -172,5 +174,5 @@
 	request.Header.Set(fields.Request, id)
 	request.Header.Set(fields.Deadline, strconv.FormatInt(costDeadline.Milliseconds(), 10))
 	request.Header.Set("Authorization", "Bearer "+c.key)
-	return failure(c.client, request, c.wanted)
+	return sendRequest(c.client, request, c.wantedStatus)
 }
--- a/cmd/coltsload/cost_test.go
+++ b/cmd/coltsload/cost_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestCostRefusesWhatItCannotMeasure(t *testing.T) {
+func TestCostRejectsInvalidFlags(t *testing.T) {
 	for name, c := range map[string]cost{
 		"--nodes 1":    {Nodes: 1, Duration: time.Second},
 		"--nodes 31":   {Nodes: 31, Duration: time.Second},
@@ -21,8 +21,8 @@
 	}
 }
 
-func TestUsedByProcessGrows(t *testing.T) {
-	before, err := usedByProcess(os.Getpid())
+func TestProcessUsageGrows(t *testing.T) {
+	before, err := processUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,16 +31,16 @@
 			t.Fatal(err)
 		}
 	}
-	after, err := usedByProcess(os.Getpid())
+	after, err := processUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if used := after.minus(before); used.Processor <= 0 || used.Transfers < 1 {
+	if used := after.minus(before); used.CPUTime <= 0 || used.ReadsAndWrites < 1 {
 		t.Errorf("got %+v, want processor time and reads", used)
 	}
 }
 
-func TestOpenLoopHoldsARate(t *testing.T) {
+func TestOpenLoopRate(t *testing.T) {
 	for _, rate := range []int{0, 200} {
 		begun := time.Now()
 		m := openLoop(plan{rate: rate, duration: 500 * time.Millisecond, seed: 1}, func(int) string { return "" })
--- a/cmd/coltsload/cost_units.go
+++ b/cmd/coltsload/cost_units.go
@@ -10,37 +10,38 @@
 	"time"
 )
 
-// costUnits is what processes have used.
-type costUnits struct {
-	Processor time.Duration `json:"processor_nanoseconds"`
-	// Allocations counts objects on the heap, Allocated their bytes.
-	Allocations float64 `json:"allocations"`
-	Allocated   float64 `json:"allocated_bytes"`
-	// Transfers counts system calls that read or write.
-	Transfers float64 `json:"reads_and_writes"`
-	// WakeUps counts how often a thread waited and was woken.
+// resourceUsage is the resources that processes have used.
+type resourceUsage struct {
+	CPUTime time.Duration `json:"processor_nanoseconds"`
+	// Allocations counts objects allocated on the heap, AllocatedBytes their bytes.
+	Allocations    float64 `json:"allocations"`
+	AllocatedBytes float64 `json:"allocated_bytes"`
+	// ReadsAndWrites counts read and write system calls.
+	ReadsAndWrites float64 `json:"reads_and_writes"`
+	// WakeUps counts voluntary context switches: how often a thread blocked and was
+	// woken.
 	WakeUps float64 `json:"wake_ups"`
 }
 
-func (u costUnits) plus(v costUnits) costUnits {
-	return costUnits{u.Processor + v.Processor, u.Allocations + v.Allocations, u.Allocated + v.Allocated, u.Transfers + v.Transfers, u.WakeUps + v.WakeUps}
+func (u resourceUsage) plus(v resourceUsage) resourceUsage {
+	return resourceUsage{u.CPUTime + v.CPUTime, u.Allocations + v.Allocations, u.AllocatedBytes + v.AllocatedBytes, u.ReadsAndWrites + v.ReadsAndWrites, u.WakeUps + v.WakeUps}
 }
 
-func (u costUnits) minus(v costUnits) costUnits {
-	return costUnits{u.Processor - v.Processor, u.Allocations - v.Allocations, u.Allocated - v.Allocated, u.Transfers - v.Transfers, u.WakeUps - v.WakeUps}
+func (u resourceUsage) minus(v resourceUsage) resourceUsage {
+	return resourceUsage{u.CPUTime - v.CPUTime, u.Allocations - v.Allocations, u.AllocatedBytes - v.AllocatedBytes, u.ReadsAndWrites - v.ReadsAndWrites, u.WakeUps - v.WakeUps}
 }
 
-// per divides each unit.
-func (u costUnits) per(count float64) costUnits {
-	return costUnits{time.Duration(float64(u.Processor) / count), u.Allocations / count, u.Allocated / count, u.Transfers / count, u.WakeUps / count}
+// dividedBy divides each figure by count.
+func (u resourceUsage) dividedBy(count float64) resourceUsage {
+	return resourceUsage{time.Duration(float64(u.CPUTime) / count), u.Allocations / count, u.AllocatedBytes / count, u.ReadsAndWrites / count, u.WakeUps / count}
 }
 
-// usedBy returns what a node has used since its start. operators is where it answers
-// operators.
-func usedBy(process int, operators string) (costUnits, error) {
-	u, err := usedByProcess(process)
+// nodeUsage returns the resources that a node has used since its start. operators is
+// the address of its operator listener.
+func nodeUsage(pid int, operators string) (resourceUsage, error) {
+	u, err := processUsage(pid)
 	if err != nil {
-		return u, fmt.Errorf("coltsload: process %d: %w", process, err)
+		return u, fmt.Errorf("coltsload: process %d: %w", pid, err)
 	}
 	response, err := http.Get("http://" + operators + "/debug/vars")
 	if err != nil {
@@ -53,28 +54,29 @@
 	if err := json.NewDecoder(response.Body).Decode(&page); err != nil {
 		return u, fmt.Errorf("coltsload: read the node's metrics: %w", err)
 	}
-	u.Allocations, u.Allocated = page.Memory.Mallocs, page.Memory.TotalAlloc
+	u.Allocations, u.AllocatedBytes = page.Memory.Mallocs, page.Memory.TotalAlloc
 	return u, nil
 }
 
-// usedByProcess reads what Linux tells of a process, see proc(5).
-func usedByProcess(process int) (costUnits, error) {
-	var u costUnits
+// processUsage reads a process's usage from /proc, see proc(5). It leaves the heap
+// figures zero.
+func processUsage(pid int) (resourceUsage, error) {
+	var u resourceUsage
 	for _, file := range []struct {
-		name string
-		take func(key, value string) error
+		name  string
+		parse func(key, value string) error
 	}{
 		{"io", func(key, value string) error {
 			if key != "syscr" && key != "syscw" {
 				return nil
 			}
 			count, err := strconv.ParseFloat(value, 64)
-			u.Transfers += count
+			u.ReadsAndWrites += count
 			return err
 		}},
 		{"schedstat", func(key, _ string) error {
 			used, err := strconv.ParseInt(strings.Fields(key)[0], 10, 64)
-			u.Processor += time.Duration(used)
+			u.CPUTime += time.Duration(used)
 			return err
 		}},
 		{"status", func(key, value string) error {
@@ -86,16 +88,17 @@
 			return err
 		}},
 	} {
-		if err := eachThread(process, file.name, file.take); err != nil {
+		if err := forEachThread(pid, file.name, file.parse); err != nil {
 			return u, err
 		}
 	}
 	return u, nil
 }
 
-// eachThread reads a file of key and value of each thread of a process.
-func eachThread(process int, name string, take func(key, value string) error) error {
-	directory := fmt.Sprintf("/proc/%d/task", process)
+// forEachThread parses the lines "key: value" of the named file of each thread of a
+// process.
+func forEachThread(pid int, name string, parse func(key, value string) error) error {
+	directory := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(directory)
 	if err != nil {
 		return err
@@ -107,7 +110,7 @@
 		}
 		for line := range strings.Lines(strings.TrimSpace(string(text))) {
 			key, value, _ := strings.Cut(line, ":")
-			if err := take(key, strings.TrimSpace(value)); err != nil {
+			if err := parse(key, strings.TrimSpace(value)); err != nil {
 				return fmt.Errorf("%s of thread %s: %w", name, thread.Name(), err)
 			}
 		}
--- a/cmd/coltsload/deployment.go
+++ b/cmd/coltsload/deployment.go
@@ -25,12 +25,12 @@
 	service = "quotes"
 	key     = "key-of-the-load-command"
 	anyPort = "127.0.0.1:0"
-	// readyTimeout bounds the wait for the first answer.
+	// readyTimeout bounds the wait until the nodes serve requests.
 	readyTimeout = time.Minute
 )
 
-// deployment is two nodes in two failure domains in this process. The caller
-// reaches the northern one, the backend server stands beside the southern one.
+// deployment is two nodes in two failure domains, in this process. Callers reach the
+// node in the domain north; the backend server is beside the node in the domain south.
 type deployment struct {
 	direct, through, key string
 	nodes                []*daemon.Daemon
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("coltsload: start the platform: %w", err)
 	}
 	d.platform = &http.Server{Handler: platform.New().Handler(), ReadHeaderTimeout: time.Minute}
-	go func() { _ = d.platform.Serve(listener) }() // ends with Close
+	go func() { _ = d.platform.Serve(listener) }() // returns when stop closes the server
 	for _, domain := range []string{"north", "south"} {
 		if err := d.startNode(ctx, domain, listener.Addr().String()); err != nil {
 			return nil, err
@@ -56,7 +56,7 @@
 	}
 	d.direct = "http://" + d.backend.Address()
 	d.through = "http://" + d.nodes[0].Addresses().Callers + "/" + service
-	return d, errors.Join(d.configure(ctx), d.awaitAnswer(ctx))
+	return d, errors.Join(d.configure(ctx), d.awaitServing(ctx))
 }
 
 func (d *deployment) startNode(ctx context.Context, domain, platformAddress string) error {
@@ -77,7 +77,7 @@
 	d.backend = backend.New(listener, backend.Options{
 		Announcement: upstream.Announcement{Service: service, Slots: 120, Connections: 800},
 		NodeAddress:  d.nodes[1].Addresses().Backend,
-		Forget:       true,
+		DiscardRuns:  true,
 	})
 	return nil
 }
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func (d *deployment) awaitAnswer(ctx context.Context) error {
+func (d *deployment) awaitServing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for call(ctx, http.DefaultClient, target{url: d.through + "/ready", key: d.key}) != "" {
@@ -123,7 +123,7 @@
 
 func (d *deployment) stop(ctx context.Context) {
 	for _, node := range d.nodes {
-		_ = node.Stop(ctx) // the process ends anyway
+		_ = node.Stop(ctx) // the process exits anyway
 	}
 	d.backend.Close()
 	d.platform.Close()
--- a/cmd/coltsload/emulate.go
+++ b/cmd/coltsload/emulate.go
@@ -8,21 +8,21 @@
 	"coltsfootward/core/emulation"
 )
 
-// troubleFrom is when the trouble of an emulated day begins: nodes have learnt by
-// then which services each class of requests needs.
-const troubleFrom = 4 * time.Second
+// troubleStart is when the trouble of an emulation begins. By then, nodes have learnt
+// which services each class of requests needs.
+const troubleStart = 4 * time.Second
 
-// emulate plays a routed deployment under a virtual clock.
+// emulate runs a routed deployment under a virtual clock.
 type emulate struct {
 	Deployment string        `long:"deployment" choice:"publisher" choice:"consortium" choice:"fleet" default:"consortium" description:"the deployment"`
 	Duration   time.Duration `long:"duration" default:"20s" description:"how long callers send requests"`
 	Seed       uint64        `long:"seed" default:"1" description:"seed of every random choice"`
 	Service    string        `long:"service" description:"the service that has the trouble; the deepest one without it"`
 	For        time.Duration `long:"for" default:"10s" description:"how long the trouble lasts, from 4 s on"`
-	Burst      float64       `long:"burst" default:"1" description:"what callers' requests are multiplied by meanwhile"`
+	Burst      float64       `long:"burst" default:"1" description:"factor on callers' request rate during the trouble"`
 	Lost       int           `long:"lost" description:"how many of the service's backend servers are lost for good"`
-	Rejects    float64       `long:"rejects" description:"part of what the service's backend servers get that they reject meanwhile"`
-	Fails      float64       `long:"fails" description:"part of the service's runs that end without an answer meanwhile"`
+	Rejects    float64       `long:"rejects" description:"fraction, 0 to 1, of requests that the service's backend servers reject during the trouble"`
+	Fails      float64       `long:"fails" description:"fraction, 0 to 1, of the service's requests that end without a response during the trouble"`
 }
 
 // Execute implements flags.Commander.
@@ -40,7 +40,7 @@
 	}
 	began := time.Now()
 	o := emulation.Run(d, trouble, c.Duration, c.Seed)
-	fmt.Printf("%s, seed %d, trouble at %s from %s on for %s\n\n%s\n", d.Name, c.Seed, trouble.Service, troubleFrom, c.For, o)
+	fmt.Printf("%s, seed %d, trouble at %s from %s on for %s\n\n%s\n", d.Name, c.Seed, trouble.Service, troubleStart, c.For, o)
 	for _, s := range d.Services {
 		fmt.Printf("%-13s %6d arrivals at backend servers\n", s.Name, o.Arrivals(s.Name))
 	}
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// trouble checks the flags, of which the library knows only the types.
+// trouble validates the flags and converts them to an emulation.Trouble. The flags
+// library checks their types only.
 func (c *emulate) trouble(d emulation.Deployment) (emulation.Trouble, error) {
 	service := d.Services[len(d.Services)-1]
 	found := c.Service == ""
@@ -67,11 +68,11 @@
 	case c.Lost < 0 || c.Lost > service.Upstreams:
 		return emulation.Trouble{}, fmt.Errorf("coltsload: --lost must be from 0 to the service's %d backend servers", service.Upstreams)
 	case c.Rejects < 0 || c.Rejects > 1 || c.Fails < 0 || c.Fails > 1:
-		return emulation.Trouble{}, errors.New("coltsload: --rejects and --fails are parts, from 0 to 1")
+		return emulation.Trouble{}, errors.New("coltsload: --rejects and --fails must be from 0 to 1")
 	}
-	span := emulation.Span{From: troubleFrom, To: troubleFrom + c.For}
+	span := emulation.Span{From: troubleStart, To: troubleStart + c.For}
 	return emulation.Trouble{
-		Burst: c.Burst, BurstSpan: span, Service: service.Name, Lost: c.Lost, LostAt: troubleFrom,
+		Burst: c.Burst, BurstSpan: span, Service: service.Name, Lost: c.Lost, LostAt: troubleStart,
 		Rejects: c.Rejects, RejectSpan: span, Fails: c.Fails, FailSpan: span,
 	}, nil
 }
--- a/cmd/coltsload/emulate_test.go
+++ b/cmd/coltsload/emulate_test.go
@@ -8,15 +8,15 @@
 	"coltsfootward/core/emulation"
 )
 
-// An operator mistypes a flag. Played all the same, the day would have no trouble
-// and its figures would say that nothing is wrong.
-func TestEmulateRefusesWhatItCannotPlay(t *testing.T) {
+// Guards against a mistyped flag being accepted: the emulation would then run without
+// trouble, and its results would look as if nothing were wrong.
+func TestEmulateRejectsInvalidFlags(t *testing.T) {
 	for name, c := range map[string]emulate{
-		"has no service":  {Service: "nobody", Duration: time.Second},
-		"--duration":      {Duration: time.Millisecond},
-		"--burst":         {Duration: time.Second, Burst: -1},
-		"--lost":          {Duration: time.Second, Lost: 4},
-		"are parts, from": {Duration: time.Second, Rejects: 1.5},
+		"has no service":        {Service: "nobody", Duration: time.Second},
+		"--duration":            {Duration: time.Millisecond},
+		"--burst":               {Duration: time.Second, Burst: -1},
+		"--lost":                {Duration: time.Second, Lost: 4},
+		"--rejects and --fails": {Duration: time.Second, Rejects: 1.5},
 	} {
 		if _, err := c.trouble(emulation.Consortium()); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%+v: got %v, want an error that names %q", c, err, name)
--- a/cmd/coltsload/latency.go
+++ b/cmd/coltsload/latency.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// latency measures what a node pair adds to a call.
+// latency measures the latency and CPU time that a pair of nodes adds to a call.
 type latency struct {
 	Rates    []int         `long:"rate" default:"160" default:"500" default:"1000" default:"2000" description:"calls per second; may be given again"`
 	Duration time.Duration `long:"duration" default:"10s" description:"how long each rate is held, directly and through the nodes"`
@@ -51,25 +51,26 @@
 	for i, rate := range c.Rates {
 		seed := c.Seed + uint64(i)
 		for _, t := range []target{direct, through} {
-			run(ctx, t, plan{rate: rate, duration: c.Warm, seed: seed})
+			measureTarget(ctx, t, plan{rate: rate, duration: c.Warm, seed: seed})
 		}
-		plain := run(ctx, direct, plan{rate: rate, duration: c.Duration, seed: seed})
-		nodes, err := c.profiled(i == len(c.Rates)-1, func() measurement {
-			return run(ctx, through, plan{rate: rate, duration: c.Duration, seed: seed})
+		baseline := measureTarget(ctx, direct, plan{rate: rate, duration: c.Duration, seed: seed})
+		nodes, err := c.withProfile(i == len(c.Rates)-1, func() measurement {
+			return measureTarget(ctx, through, plan{rate: rate, duration: c.Duration, seed: seed})
 		})
 		if err != nil {
 			return err
 		}
-		row(w, rate, "direct", plain)
-		row(w, rate, "through", nodes)
-		added(w, rate, plain, nodes)
+		writeRow(w, rate, "direct", baseline)
+		writeRow(w, rate, "through", nodes)
+		writeDifference(w, rate, baseline, nodes)
 	}
 	return w.Flush()
 }
 
-// profiled measures, and writes a profile of it if one is wanted.
-func (c *latency) profiled(wanted bool, measure func() measurement) (measurement, error) {
-	if !wanted || c.Profile == "" {
+// withProfile runs measure, and writes a CPU profile of it if enabled and if a file was
+// given.
+func (c *latency) withProfile(enabled bool, measure func() measurement) (measurement, error) {
+	if !enabled || c.Profile == "" {
 		return measure(), nil
 	}
 	file, err := os.Create(c.Profile)
@@ -84,18 +85,18 @@
 	return measure(), nil
 }
 
-func row(w *tabwriter.Writer, rate int, path string, m measurement) {
+func writeRow(w *tabwriter.Writer, rate int, path string, m measurement) {
 	fmt.Fprintf(w, "%d\t%s\t%d\t%v\t%v\t%v\t%v\t%v\n", rate, path, m.calls,
-		m.quantile(50), m.quantile(99), m.quantile(99.9), m.processorPerCall(), m.failed)
+		m.quantile(50), m.quantile(99), m.quantile(99.9), m.cpuTimePerCall(), m.failed)
 }
 
-func added(w *tabwriter.Writer, rate int, plain, nodes measurement) {
-	processor := nodes.processorPerCall() - plain.processorPerCall()
+func writeDifference(w *tabwriter.Writer, rate int, baseline, nodes measurement) {
+	cpuTime := nodes.cpuTimePerCall() - baseline.cpuTimePerCall()
 	perCore := 0.0
-	if processor > 0 {
-		perCore = float64(time.Second) / float64(processor)
+	if cpuTime > 0 {
+		perCore = float64(time.Second) / float64(cpuTime)
 	}
 	fmt.Fprintf(w, "%d\tadded\t\t%v\t%v\t%v\t%v (%.0f calls/s per core)\n", rate,
-		nodes.quantile(50)-plain.quantile(50), nodes.quantile(99)-plain.quantile(99),
-		nodes.quantile(99.9)-plain.quantile(99.9), processor, perCore)
+		nodes.quantile(50)-baseline.quantile(50), nodes.quantile(99)-baseline.quantile(99),
+		nodes.quantile(99.9)-baseline.quantile(99.9), cpuTime, perCore)
 }
--- a/cmd/coltsload/main.go
+++ b/cmd/coltsload/main.go
@@ -1,5 +1,5 @@
-// Command coltsload measures coltsfootward under load. Each subcommand prints
-// its settings with its figures.
+// Command coltsload measures coltsfootward under load. Each subcommand prints its
+// settings together with its results.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// subcommand is one line of the command table.
+// subcommand describes a subcommand for the flags parser.
 type subcommand struct {
 	name, short, long string
 	command           flags.Commander
@@ -21,14 +21,14 @@
 		{"scenarios", "measure overload scenarios under a virtual clock",
 			"Runs every overload scenario on both example deployments, against a naive system, and prints a table. Needs no network.\n\nExample: coltsload scenarios --only burst",
 			&scenarios{}},
-		{"emulate", "play a routed deployment with deep call chains under a virtual clock",
-			"Plays node machines, backend servers that call each other, and callers with objectives and repeats of their own, and prints what callers got by class and time. Needs no network.\n\nExample: coltsload emulate --deployment publisher --burst 1.7 --lost 1",
+		{"emulate", "emulate a routed deployment with deep call chains under a virtual clock",
+			"Runs the state machines of nodes, backend servers that call each other, and callers with latency objectives and retries, and prints the outcomes by request class and time. Needs no network.\n\nExample: coltsload emulate --deployment publisher --burst 1.7 --lost 1",
 			&emulate{}},
 		{"latency", "measure what a node pair adds to a call",
 			"Calls a backend server directly and through two nodes, in one run and at the same rates, and prints both and the difference. Starts all parts in this process unless --direct and --through name others.\n\nExample: coltsload latency --rate 160 --duration 10s",
 			&latency{}},
 		{"cost", "measure what calls cost the nodes",
-			"Starts nodes as processes of their own, calls them at set rates, and prints what a node's second and a call cost: processor time, allocations, system calls, wake-ups. Rate 0 tells what nodes cost at rest.\n\nExample: coltsload cost --program ./coltsfootward --rate 0 --rate 1000 --profile /tmp/profiles",
+			"Starts nodes as processes of their own, calls them at set rates, and prints the cost per node and second and per call: CPU time, allocations, system calls, wake-ups. Rate 0 measures idle nodes.\n\nExample: coltsload cost --program ./coltsfootward --rate 0 --rate 1000 --profile /tmp/profiles",
 			&cost{}},
 	}
 }
--- a/cmd/coltsload/openloop.go
+++ b/cmd/coltsload/openloop.go
@@ -17,64 +17,66 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// target is where calls go.
+// target is the URL that is called, with the caller's API key.
 type target struct {
 	url, key string
 }
 
-// plan says how many calls are made, and when.
+// plan describes the calls of a measurement. The rate is in calls per second.
 type plan struct {
 	rate     int
 	duration time.Duration
 	seed     uint64
 }
 
-// measurement is what came of a plan.
+// measurement is the result of a plan.
 type measurement struct {
 	calls int
-	// failed counts calls without a whole good answer, by what they got instead.
+	// failed counts the calls without a complete and expected response, by failure
+	// label.
 	failed    map[string]int
 	histogram *hdrhistogram.Histogram
-	// processor is the processor time of the whole process meanwhile.
-	processor time.Duration
+	// cpuTime is the CPU time that this process used during the measurement.
+	cpuTime time.Duration
 }
 
-// The histogram's range in microseconds and its digits.
+// The histogram's range, in microseconds, and its precision.
 const (
-	shortest = 1
-	longest  = 60_000_000
-	digits   = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
 )
 
-// callTimeout bounds one call.
+// callTimeout is the timeout of one call.
 const callTimeout = 30 * time.Second
 
-// run makes the calls of a plan in an open loop: each starts at its time,
-// whether or not earlier ones have ended, and its latency counts from that
-// time. A closed loop would stop asking while the system stalls and so leave
-// out the very calls that suffer.
-func run(ctx context.Context, t target, p plan) measurement {
+// measureTarget makes the calls of a plan in an open loop: each call starts at its
+// scheduled time, whether or not earlier ones have ended, and its latency is measured
+// from that time. A closed loop would send nothing while the system stalls and so omit
+// exactly the calls that suffer (coordinated omission).
+func measureTarget(ctx context.Context, t target, p plan) measurement {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	return openLoop(p, func(int) string { return call(ctx, client, t) })
 }
 
-// newClient returns a client that keeps connections for many calls at once.
+// newClient returns a client that keeps up to 512 idle connections per host, for many
+// concurrent calls.
 func newClient() *http.Client {
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}
 }
 
-// openLoop makes the calls of a plan. call is told which one it is and returns what
-// went wrong with it, or "".
+// openLoop makes the calls of a plan in an open loop. call receives the call's number,
+// from 0, and returns a label for its failure, or "" if it succeeded.
 func openLoop(p plan, call func(number int) string) measurement {
-	m := measurement{failed: make(map[string]int), histogram: hdrhistogram.New(shortest, longest, digits)}
+	m := measurement{failed: make(map[string]int), histogram: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)}
 	arrivals := rand.New(rand.NewPCG(p.seed, 0))
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	used := processorTime()
+	cpuBefore := cpuTimeUsed()
 	start := time.Now()
 	for number, at := 0, time.Duration(0); ; number++ {
-		at += gap(arrivals, p.rate)
+		at += interarrivalTime(arrivals, p.rate)
 		time.Sleep(time.Until(start.Add(min(at, p.duration))))
 		if at >= p.duration {
 			break
@@ -90,23 +92,24 @@
 				m.failed[failure]++
 				return
 			}
-			_ = m.histogram.RecordValue(max(took.Microseconds(), shortest)) // a value out of range has timed out
+			_ = m.histogram.RecordValue(max(took.Microseconds(), minLatencyMicros)) // only a call that timed out is out of range
 		})
 	}
 	wait.Wait()
-	m.processor = processorTime() - used
+	m.cpuTime = cpuTimeUsed() - cpuBefore
 	return m
 }
 
-// gap returns the time to the next arrival of a Poisson process.
-func gap(r *rand.Rand, rate int) time.Duration {
+// interarrivalTime returns the time to the next arrival of a Poisson process.
+func interarrivalTime(r *rand.Rand, rate int) time.Duration {
 	if rate == 0 {
 		return math.MaxInt64
 	}
 	return time.Duration(r.ExpFloat64() / float64(rate) * float64(time.Second))
 }
 
-// call makes one call and returns what went wrong with it, or "".
+// call sends one request to t and returns a label for its failure, or "" if it
+// succeeded.
 func call(ctx context.Context, client *http.Client, t target) string {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, t.url, nil)
 	if err != nil {
@@ -115,11 +118,12 @@
 	if t.key != "" {
 		request.Header.Set("Authorization", "Bearer "+t.key)
 	}
-	return failure(client, request, http.StatusOK)
+	return sendRequest(client, request, http.StatusOK)
 }
 
-// failure sends a request and returns what went wrong with it, or "".
-func failure(client *http.Client, request *http.Request, wanted int) string {
+// sendRequest sends a request and returns a label for its failure, or "" if its
+// response was complete and had wantedStatus.
+func sendRequest(client *http.Client, request *http.Request, wantedStatus int) string {
 	response, err := client.Do(request)
 	if err != nil {
 		return "no answer"
@@ -128,7 +132,7 @@
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return "truncated"
 	}
-	if response.StatusCode != wanted {
+	if response.StatusCode != wantedStatus {
 		return strings.TrimSpace(fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get(caller.HeaderRefusal)))
 	}
 	return ""
@@ -138,15 +142,15 @@
 	return time.Duration(m.histogram.ValueAtQuantile(q)) * time.Microsecond
 }
 
-func (m measurement) processorPerCall() time.Duration {
+func (m measurement) cpuTimePerCall() time.Duration {
 	if m.calls == 0 {
 		return 0
 	}
-	return (m.processor / time.Duration(m.calls)).Round(time.Microsecond)
+	return (m.cpuTime / time.Duration(m.calls)).Round(time.Microsecond)
 }
 
-// processorTime returns what this process has used of the processors.
-func processorTime() time.Duration {
+// cpuTimeUsed returns the CPU time, user and system, that this process has used.
+func cpuTimeUsed() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/cmd/coltssoak/main.go
+++ b/cmd/coltssoak/main.go
@@ -1,5 +1,5 @@
-// Command coltssoak runs nodes as separate processes on this machine, injects
-// faults from outside them, and checks what the system promises.
+// Command coltssoak runs nodes as separate processes on this machine, injects faults
+// from outside the processes, and checks the system's guarantees.
 package main
 
 import (
@@ -26,9 +26,9 @@
 
 // The exit codes.
 const (
-	exitKept   = 0
-	exitBroken = 1
-	exitUsage  = 2
+	exitOK       = 0
+	exitFindings = 1
+	exitUsage    = 2
 )
 
 func main() { os.Exit(run(os.Args[1:])) }
@@ -39,51 +39,51 @@
 	var flagged *flags.Error
 	if errors.As(err, &flagged) && flagged.Type == flags.ErrHelp {
 		fmt.Println(err)
-		return exitKept
+		return exitOK
 	}
 	if err == nil {
-		o.Directory, err = directory(o.Directory)
+		o.Directory, err = makeDirectory(o.Directory)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "coltssoak: %v: see coltssoak --help\n", err)
 		return exitUsage
 	}
-	return play(o)
+	return runSeeds(o)
 }
 
-func directory(named string) (string, error) {
-	if named == "" {
+func makeDirectory(requested string) (string, error) {
+	if requested == "" {
 		return os.MkdirTemp("", "coltssoak")
 	}
-	return named, os.MkdirAll(named, 0o755)
+	return requested, os.MkdirAll(requested, 0o755)
 }
 
-// play plays the seeds and prints a line for each.
-func play(o options) int {
-	code := exitKept
+// runSeeds runs the seeds one after the other and prints a line for each.
+func runSeeds(o options) int {
+	code := exitOK
 	fmt.Printf("%-6s %-8s %8s %12s  %s\n", "SEED", "FAULTS", "REQUESTS", "SERVED AFTER", "FINDINGS")
 	for seed := o.From; seed < o.From+o.Seeds; seed++ {
-		place := filepath.Join(o.Directory, fmt.Sprintf("seed-%d", seed))
-		err := os.MkdirAll(place, 0o755)
+		seedDirectory := filepath.Join(o.Directory, fmt.Sprintf("seed-%d", seed))
+		err := os.MkdirAll(seedDirectory, 0o755)
 		var report soak.Report
 		if err == nil {
 			report, err = soak.Run(soak.Options{
-				Program: o.Program, Directory: place, Seed: seed, Nodes: o.Nodes, Callers: o.Callers, Duration: o.Duration,
+				Program: o.Program, Directory: seedDirectory, Seed: seed, Nodes: o.Nodes, Callers: o.Callers, Duration: o.Duration,
 			})
 		}
 		if err != nil {
 			fmt.Printf("%-6d not played: %v\n", seed, err)
-			code = exitBroken
+			code = exitFindings
 			continue
 		}
 		faults := 0
 		for _, n := range report.Faults {
 			faults += n
 		}
-		fmt.Printf("%-6d %-8d %8d %5d of %-5d %d %v\n", seed, faults, report.Requests, report.CalmServed, report.CalmRequests, len(report.Findings), report.Faults)
+		fmt.Printf("%-6d %-8d %8d %5d of %-5d %d %v\n", seed, faults, report.Requests, report.ServedAfterFaults, report.RequestsAfterFaults, len(report.Findings), report.Faults)
 		for _, finding := range report.Findings {
 			fmt.Println("       " + finding)
-			code = exitBroken
+			code = exitFindings
 		}
 	}
 	fmt.Println("logs and settings: " + o.Directory)
--- a/cmd/endtoend/ctl_test.go
+++ b/cmd/endtoend/ctl_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The exit codes are what scripts of operators branch on.
+// Operators' scripts branch on the exit codes.
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
@@ -28,21 +28,21 @@
 		{"no such organisation", "", []string{"key", "issue", "nobody-1", "--organisation", "nobody"}, 1, "organisation set"},
 		{"no such key", "", []string{"key", "withdraw", "nobody-1"}, 1, "key list"},
 		{"short key", "short\n", []string{"key", "issue", "traders-2", "--organisation", "traders", "--from-stdin"}, 2, "at least"},
-		{"revision to come", "", []string{"watch", "9999", "--wait", "100ms"}, 4, "coltsfootctl watch 9999"},
+		{"future revision", "", []string{"watch", "9999", "--wait", "100ms"}, 4, "coltsfootctl watch 9999"},
 		{"no node", "", []string{"--node", "127.0.0.1:1", "organisation", "set", "brokers", "--rate", "1", "--burst", "1"}, 5, "--change-id"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			got := tryCtl(t, test.input, d.north.operators, test.args...)
-			if got.code != test.code || !strings.Contains(got.out+got.errout, test.want) {
-				t.Errorf("got exit code %d, %q and %q, want %d and %q", got.code, got.out, got.errout, test.code, test.want)
+			if got.code != test.code || !strings.Contains(got.stdout+got.stderr, test.want) {
+				t.Errorf("got exit code %d, %q and %q, want %d and %q", got.code, got.stdout, got.stderr, test.code, test.want)
 			}
 		})
 	}
 }
 
-// An operator reads one time line of all nodes, a node that is down is named,
-// and the caller's key stands in no log and on no time line.
+// The timeline command merges the timelines of all nodes and names a node that is down.
+// Neither the timeline nor any node's log contains the caller's key.
 func TestTimelineOfAllNodes(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
@@ -52,20 +52,20 @@
 		return get(t, d.north.callers, "/"+service+"/page", d.key).status == 401 &&
 			get(t, d.south.callers, "/"+service+"/page", d.key).status == 401
 	})
-	found := tryCtl(t, "", d.north.operators, "timeline", "--limit", "0")
+	timeline := tryCtl(t, "", d.north.operators, "timeline", "--limit", "0")
 	for _, want := range []string{"north-1", "south-1", "node_started", "backend_announced", "key_withdrawn"} {
-		if !strings.Contains(found.out, want) {
-			t.Errorf("got no %q on the time line:\n%s", want, found.out)
+		if !strings.Contains(timeline.stdout, want) {
+			t.Errorf("got no %q on the timeline:\n%s", want, timeline.stdout)
 		}
 	}
 	d.south.kill()
-	without := tryCtl(t, "", d.north.operators, "timeline")
-	if without.code != 0 || !strings.Contains(without.errout, d.south.operators) {
-		t.Errorf("got exit code %d and %q, want 0 and the node that is down named", without.code, without.errout)
+	withoutSouth := tryCtl(t, "", d.north.operators, "timeline")
+	if withoutSouth.code != 0 || !strings.Contains(withoutSouth.stderr, d.south.operators) {
+		t.Errorf("got exit code %d and %q, want 0 and the node that is down named", withoutSouth.code, withoutSouth.stderr)
 	}
-	for _, text := range []string{found.out, d.north.output.String(), d.south.output.String()} {
+	for _, text := range []string{timeline.stdout, d.north.output.String(), d.south.output.String()} {
 		if strings.Contains(text, d.key) {
-			t.Errorf("got the key in a log or on the time line")
+			t.Errorf("got the key in a log or on the timeline")
 		}
 	}
 }
--- a/cmd/endtoend/deployment_test.go
+++ b/cmd/endtoend/deployment_test.go
@@ -11,8 +11,8 @@
 	"coltsfootward/standin/platform"
 )
 
-// deployment is a platform, two nodes in two failure domains, and a backend
-// server of one service beside each.
+// deployment is a platform, two nodes in two failure domains, and a backend server of
+// the same service beside each node.
 type deployment struct {
 	t             *testing.T
 	platform      string
@@ -25,8 +25,8 @@
 
 const service = "quotes"
 
-// startDeployment starts it with an organisation whose rate stands in no
-// test's way, and waits until a request at each node is answered.
+// startDeployment starts a deployment with an organisation whose rate no test reaches,
+// and waits until each node serves a request.
 func startDeployment(t *testing.T, backendArgs ...string) *deployment {
 	t.Helper()
 	d := &deployment{t: t, platform: startPlatform(t)}
@@ -38,7 +38,7 @@
 	ctl(t, d.north.operators, "organisation", "set", "traders", "--rate", "1000000", "--burst", "1000000")
 	d.key = ctl(t, d.north.operators, "key", "issue", "traders-1", "--organisation", "traders")
 	for _, node := range []*nodeProcess{d.north, d.south} {
-		d.awaitAnswer(node)
+		d.awaitServing(node)
 		d.awaitUpstreams(node, 2)
 	}
 	return d
@@ -56,14 +56,14 @@
 	return start(t, "standin", "platform", "--listen", "127.0.0.1:0").listening()
 }
 
-func (d *deployment) awaitAnswer(node *nodeProcess) {
+func (d *deployment) awaitServing(node *nodeProcess) {
 	d.t.Helper()
 	eventually(d.t, "a request is answered", func() bool {
 		return get(d.t, node.callers, "/"+service+"/ready", d.key).status == http.StatusOK
 	})
 }
 
-// status is a part of what coltsfootctl status prints as JSON.
+// status is the part of the JSON output of coltsfootctl status that the tests use.
 type status struct {
 	Draining          bool  `json:"draining"`
 	PlatformAvailable bool  `json:"platform_available"`
@@ -77,20 +77,21 @@
 func (d *deployment) status(node *nodeProcess) status {
 	d.t.Helper()
 	var s status
-	found := tryCtl(d.t, "", node.operators, "status", "--output", "json")
-	if found.code != 0 {
+	result := tryCtl(d.t, "", node.operators, "status", "--output", "json")
+	if result.code != 0 {
 		return s
 	}
-	if err := json.Unmarshal([]byte(found.out), &s); err != nil {
-		d.t.Fatalf("status of %s: %v", found.out, err)
+	if err := json.Unmarshal([]byte(result.stdout), &s); err != nil {
+		d.t.Fatalf("status of %s: %v", result.stdout, err)
 	}
 	return s
 }
 
-// awaitUpstreams waits until node knows that many backend servers that take work.
+// awaitUpstreams waits until node has exactly count backend servers that are not
+// draining.
 func (d *deployment) awaitUpstreams(node *nodeProcess, count int) {
 	d.t.Helper()
-	eventually(d.t, fmt.Sprintf("a node knows %d backend servers that take work", count), func() bool {
+	eventually(d.t, fmt.Sprintf("a node has %d backend servers that are not draining", count), func() bool {
 		ready := 0
 		for _, u := range d.status(node).Upstreams {
 			if !u.Draining {
@@ -101,26 +102,26 @@
 	})
 }
 
-// runs returns what ran on the backend server at address.
-func (d *deployment) runs(address string) backend.Runs {
+// runs returns the counts of requests that the backend server at address has run.
+func (d *deployment) runs(address string) backend.RunCounts {
 	d.t.Helper()
 	response, err := http.Get("http://" + address + backend.PathRuns)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	defer response.Body.Close()
-	var found backend.Runs
-	if err := json.NewDecoder(response.Body).Decode(&found); err != nil {
+	var counts backend.RunCounts
+	if err := json.NewDecoder(response.Body).Decode(&counts); err != nil {
 		d.t.Fatal(err)
 	}
-	return found
+	return counts
 }
 
-// fail switches the platform's failures.
-func (d *deployment) fail(f platform.Failure) { put(d.t, "http://"+d.platform+"/failure", f) }
+// setFailure sets the failures that the platform simulates.
+func (d *deployment) setFailure(f platform.Failure) { put(d.t, "http://"+d.platform+"/failure", f) }
 
-// behave switches a backend server's behaviour.
-func (d *deployment) behave(address string, b backend.Behaviour) {
+// setBehaviour sets a backend server's behaviour.
+func (d *deployment) setBehaviour(address string, b backend.Behaviour) {
 	put(d.t, "http://"+address+backend.PathBehaviour, b)
 }
 
--- a/cmd/endtoend/hosted_bench_test.go
+++ b/cmd/endtoend/hosted_bench_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// answered reads one answer from a connection.
-func answered(b *testing.B, r *bufio.Reader) {
+// readResponse reads one response from a connection and expects status 200.
+func readResponse(b *testing.B, r *bufio.Reader) {
 	b.Helper()
 	response, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -27,8 +27,8 @@
 	}
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime(b *testing.B) time.Duration {
+// cpuTimeUsed returns the CPU time, user and system, that this process has used.
+func cpuTimeUsed(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -37,17 +37,17 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkHostedCall sends calls through two nodes of a hosted deployment, one
-// connection, one after the other. Caller and backend server run in the same
-// process: BenchmarkHostedDirect is what they cost alone, and the difference is
-// the nodes'.
+// BenchmarkHostedCall sends calls through two nodes of a hosted deployment, one after
+// the other on one connection. The caller and the backend server run in the same
+// process as the nodes; BenchmarkHostedDirect measures their cost alone, and the
+// difference is the cost of the nodes.
 func BenchmarkHostedCall(b *testing.B) {
 	_, nodes := startHosted(b, 2)
 	nodes[0].backend.Slots, nodes[1].backend.Slots = 64, 64
 	benchmarkCalls(b, nodes[0].callers)
 }
 
-// BenchmarkHostedDirect sends the same calls to a backend server.
+// BenchmarkHostedDirect sends the same calls directly to a backend server.
 func BenchmarkHostedDirect(b *testing.B) {
 	_, nodes := startHosted(b, 2)
 	benchmarkCalls(b, nodes[1].backend.Address)
@@ -60,7 +60,7 @@
 	}
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
-	before := processorTime(b)
+	before := cpuTimeUsed(b)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -68,8 +68,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		answered(b, reader)
+		readResponse(b, reader)
 	}
 	b.StopTimer()
-	b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "cpu-us/op")
+	b.ReportMetric(float64((cpuTimeUsed(b)-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
--- a/cmd/endtoend/hosted_cold_test.go
+++ b/cmd/endtoend/hosted_cold_test.go
@@ -8,54 +8,55 @@
 	"time"
 )
 
-// Guards against work for a failure domain that the operator has emptied.
+// Guards against requests being sent to a failure domain that the operator has
+// evacuated.
 func TestHostedDomainOutOfService(t *testing.T) {
 	store, nodes := startHosted(t, 3)
-	emptied := nodes[1].backend // the only one in south
+	evacuated := nodes[1].backend // the only backend server in the domain south
 	store.Write("op", "evacuate/south", []byte("{}"))
-	waitHosted(t, "south gets nothing", func() bool {
-		before := len(emptied.Runs())
+	waitUntil(t, "south gets nothing", func() bool {
+		before := len(evacuated.Runs())
 		for i := range 30 {
-			ask(nodes[i%3], "GET", fmt.Sprintf("/urea/probe-%d", i), "farm-key")
+			sendHosted(nodes[i%3], "GET", fmt.Sprintf("/urea/probe-%d", i), "farm-key")
 		}
-		return len(emptied.Runs()) == before
+		return len(evacuated.Runs()) == before
 	})
-	before := len(emptied.Runs())
+	before := len(evacuated.Runs())
 	for i := range 60 {
-		if a := ask(nodes[i%3], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); a.status != http.StatusOK {
+		if a := sendHosted(nodes[i%3], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); a.status != http.StatusOK {
 			t.Errorf("request %d: got %+v, want 200", i, a)
 		}
 	}
-	if got := len(emptied.Runs()) - before; got > 0 {
-		t.Errorf("%d requests reached the emptied domain", got)
+	if got := len(evacuated.Runs()) - before; got > 0 {
+		t.Errorf("%d requests reached the evacuated domain", got)
 	}
 	store.Remove("op", "evacuate/south")
-	waitHosted(t, "south gets work again", func() bool {
-		ask(nodes[1], "GET", "/urea/again", "farm-key")
-		return len(emptied.Runs()) > before
+	waitUntil(t, "south gets work again", func() bool {
+		sendHosted(nodes[1], "GET", "/urea/again", "farm-key")
+		return len(evacuated.Runs()) > before
 	})
 }
 
-// Guards against a cold server that gets its share of the full demand at once.
+// Guards against a cold backend server receiving its full share of the demand at once.
 func TestHostedColdServer(t *testing.T) {
 	const perSecond, coldTime = 10, 1500 * time.Millisecond
 	store, nodes := startHosted(t, 2)
 	document := fmt.Sprintf(hostedDocument, 4)
 	store.Write("op", "config", []byte(strings.Replace(document, `"max_connections":20`, fmt.Sprintf(`"max_connections":20,"cold_start":"%s","cold_per_s":%d`, coldTime, perSecond), 1)))
-	waitHosted(t, "the cold rate is in force", func() bool {
-		return ask(nodes[0], "GET", "/urea/first", "farm-key").status == http.StatusOK
+	waitUntil(t, "the cold rate is in force", func() bool {
+		return sendHosted(nodes[0], "GET", "/urea/first", "farm-key").status == http.StatusOK
 	})
 	time.Sleep(500 * time.Millisecond)
 	for _, n := range nodes {
-		n.backend.GoCold(coldTime)
-		if err := n.backend.Beat(); err != nil {
+		n.backend.SetCold(coldTime)
+		if err := n.backend.SendHeartbeat(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := len(nodes[0].backend.Runs())
 	began := time.Now()
 	for i := 0; time.Since(began) < time.Second; i++ {
-		a := ask(nodes[0], "GET", fmt.Sprintf("/urea/%d", i), "farm-key")
+		a := sendHosted(nodes[0], "GET", fmt.Sprintf("/urea/%d", i), "farm-key")
 		if a.status != http.StatusOK && (a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "") {
 			t.Fatalf("got %+v, want 200, or 503 with Retry-After", a)
 		}
@@ -63,10 +64,10 @@
 	if got := len(nodes[0].backend.Runs()) - before; got > perSecond+2 {
 		t.Errorf("%d requests reached a cold server within a second, want at most %d", got, perSecond)
 	}
-	waitHosted(t, "the servers are warm", func() bool {
+	waitUntil(t, "the servers are warm", func() bool {
 		before := len(nodes[0].backend.Runs())
 		for i := range 3 * perSecond {
-			ask(nodes[0], "GET", fmt.Sprintf("/urea/warm-%d", i), "farm-key")
+			sendHosted(nodes[0], "GET", fmt.Sprintf("/urea/warm-%d", i), "farm-key")
 		}
 		return len(nodes[0].backend.Runs())-before > perSecond
 	})
--- a/cmd/endtoend/hosted_test.go
+++ b/cmd/endtoend/hosted_test.go
@@ -20,7 +20,8 @@
 	"go.uber.org/zap"
 )
 
-// hostedNode is one node of a hosted deployment with its backend server.
+// hostedNode is one node of a hosted deployment with its backend server. ready is the
+// URL of its readiness endpoint.
 type hostedNode struct {
 	daemon  *daemon.Daemon
 	backend *hosting.Backend
@@ -34,7 +35,7 @@
 	{"name":"urea","prefix":"/urea/","kind":"idempotent","timeout":"2s","target_latency":"500ms","priority":1,"max_attempts":2,"service":"quotes"},
 	{"name":"order","prefix":"/order/","kind":"non_idempotent","timeout":"2s","target_latency":"500ms","priority":0,"max_attempts":2,"service":"quotes"}]}]}`
 
-// startHosted starts count nodes in two failure domains on one store.
+// startHosted starts count nodes in two failure domains that share one store.
 func startHosted(t testing.TB, count int) (*hosting.Store, []*hostedNode) {
 	t.Helper()
 	store := hosting.NewStore()
@@ -46,9 +47,9 @@
 		nodes = append(nodes, startHostedNode(t, i, platform.URL))
 	}
 	for _, n := range nodes {
-		waitHosted(t, "node is ready", func() bool { return statusOf(n.ready) == http.StatusOK })
+		waitUntil(t, "node is ready", func() bool { return getStatus(n.ready) == http.StatusOK })
 	}
-	waitHosted(t, "a request is served", func() bool { return ask(nodes[0], "GET", "/urea/first", "farm-key").status == http.StatusOK })
+	waitUntil(t, "a request is served", func() bool { return sendHosted(nodes[0], "GET", "/urea/first", "farm-key").status == http.StatusOK })
 	return store, nodes
 }
 
@@ -93,7 +94,7 @@
 	backend := hosting.NewBackend(fmt.Sprintf("i-%d", i), "quotes", address, addresses.Backend, 4)
 	server := &http.Server{Handler: backend}
 	var wait sync.WaitGroup
-	wait.Go(func() { _ = server.Serve(listener) }) // it ends with the test
+	wait.Go(func() { _ = server.Serve(listener) }) // returns when the test closes the server
 	backend.Start()
 	var once sync.Once
 	n := &hostedNode{daemon: d, backend: backend, callers: addresses.Callers, ready: "http://" + addresses.Ready + "/ready"}
@@ -101,7 +102,7 @@
 		once.Do(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			_ = d.Stop(ctx) // a test may have stopped it already
+			_ = d.Stop(ctx) // the test may have stopped the node already
 			backend.Close()
 			server.Close()
 			wait.Wait()
@@ -110,7 +111,7 @@
 	return n
 }
 
-func waitHosted(t testing.TB, what string, done func() bool) {
+func waitUntil(t testing.TB, what string, done func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if done() {
@@ -120,7 +121,7 @@
 	t.Fatalf("waited for 20 s until %s", what)
 }
 
-func statusOf(url string) int {
+func getStatus(url string) int {
 	response, err := http.Get(url)
 	if err != nil {
 		return 0
@@ -129,17 +130,18 @@
 	return response.StatusCode
 }
 
-// hostedAnswer is what a caller got.
-type hostedAnswer struct {
+// hostedResponse is the response that a caller received; its zero value means that
+// there was none.
+type hostedResponse struct {
 	status int
 	body   string
 	header http.Header
 }
 
-func ask(n *hostedNode, method, path, key string) hostedAnswer {
+func sendHosted(n *hostedNode, method, path, key string) hostedResponse {
 	request, err := http.NewRequest(method, "http://"+n.callers+path, nil)
 	if err != nil {
-		return hostedAnswer{}
+		return hostedResponse{}
 	}
 	request.Host = "quotes.example"
 	request.Header.Set("Coltsfootward-Request-Id", "id-of"+strings.ReplaceAll(path, "/", "-"))
@@ -152,19 +154,19 @@
 	}
 	response, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
-		return hostedAnswer{}
+		return hostedResponse{}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return hostedAnswer{}
+		return hostedResponse{}
 	}
-	return hostedAnswer{status: response.StatusCode, body: string(body), header: response.Header}
+	return hostedResponse{status: response.StatusCode, body: string(body), header: response.Header}
 }
 
 func TestHostedRequest(t *testing.T) {
 	_, nodes := startHosted(t, 3)
-	a := ask(nodes[0], "GET", "/urea/7?page=2", "farm-key")
+	a := sendHosted(nodes[0], "GET", "/urea/7?page=2", "farm-key")
 	if a.status != http.StatusOK || !strings.HasSuffix(a.body, "to /urea/7?page=2") || a.header.Get("Coltsfootward-Response-Stamp") == "" {
 		t.Fatalf("got %+v, want the backend server's answer", a)
 	}
@@ -194,45 +196,48 @@
 		path, key string
 		status    int
 	}{{"/urea/1", "wrong", http.StatusUnauthorized}, {"/urea/2", "", http.StatusUnauthorized}, {"/none/1", "farm-key", http.StatusNotFound}} {
-		if got := ask(nodes[1], "GET", test.path, test.key).status; got != test.status {
+		if got := sendHosted(nodes[1], "GET", test.path, test.key).status; got != test.status {
 			t.Errorf("%s with key %q: got %d, want %d", test.path, test.key, got, test.status)
 		}
 	}
 }
 
-// A change of the document is in force on every node within a second or two, also
-// on one that the store turns away: its peers tell it.
-func TestHostedChange(t *testing.T) {
+// A change of the configuration document comes into force on every node, and an older
+// version of the document does not replace a newer one. A change should take one or two
+// seconds, also on a node that the store rejects, which receives the change from its
+// peers; this test checks neither.
+func TestHostedConfigurationChange(t *testing.T) {
 	store, nodes := startHosted(t, 3)
 	changed := strings.Replace(fmt.Sprintf(hostedDocument, 4), "/urea/", "/potash/", 1)
 	store.Write("op", "config", []byte(changed))
 	for _, n := range nodes {
-		waitHosted(t, "the new route is in force", func() bool { return ask(n, "GET", "/potash/1", "farm-key").status == http.StatusOK })
-		if got := ask(n, "GET", "/urea/1", "farm-key").status; got != http.StatusNotFound {
+		waitUntil(t, "the new route is in force", func() bool { return sendHosted(n, "GET", "/potash/1", "farm-key").status == http.StatusOK })
+		if got := sendHosted(n, "GET", "/urea/1", "farm-key").status; got != http.StatusNotFound {
 			t.Errorf("the dropped route: got %d, want 404", got)
 		}
 	}
 	store.Write("op", "config", fmt.Appendf(nil, hostedDocument, 2))
 	time.Sleep(300 * time.Millisecond)
-	if got := ask(nodes[0], "GET", "/potash/2", "farm-key").status; got != http.StatusOK {
+	if got := sendHosted(nodes[0], "GET", "/potash/2", "farm-key").status; got != http.StatusOK {
 		t.Errorf("after an older document: got %d, want 200", got)
 	}
 }
 
-// The store goes away and everything goes on; a node that starts meanwhile learns
-// nothing and says that it is not ready.
-func TestHostedStoreAway(t *testing.T) {
+// Nodes go on serving requests while the store is unavailable. A node that starts
+// meanwhile has no configuration and reports that it is not ready; this test does not
+// start one.
+func TestHostedStoreUnavailable(t *testing.T) {
 	store, nodes := startHosted(t, 2)
 	store.Fail(http.StatusServiceUnavailable)
 	for i := range 20 {
-		if a := ask(nodes[i%2], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); a.status != http.StatusOK {
+		if a := sendHosted(nodes[i%2], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); a.status != http.StatusOK {
 			t.Errorf("request %d: got %+v, want 200", i, a)
 		}
 	}
 }
 
-// A backend server says that it leaves. From the acknowledgement on no new request
-// reaches it, whichever node callers use.
+// Guards against requests reaching a backend server after its node has acknowledged
+// that the server is draining, whichever node callers use.
 func TestHostedDrain(t *testing.T) {
 	_, nodes := startHosted(t, 3)
 	leaving := nodes[1].backend
@@ -241,18 +246,19 @@
 	}
 	before := len(leaving.Runs())
 	for i := range 60 {
-		if a := ask(nodes[i%3], "POST", fmt.Sprintf("/order/%d", i), "farm-key"); a.status != http.StatusOK {
+		if a := sendHosted(nodes[i%3], "POST", fmt.Sprintf("/order/%d", i), "farm-key"); a.status != http.StatusOK {
 			t.Errorf("order %d: got %+v, want 200", i, a)
 		}
 	}
 	if got := len(leaving.Runs()); got != before {
-		t.Errorf("%d requests reached the backend server after its leaving was acknowledged", got-before)
+		t.Errorf("%d requests reached the backend server after its drain was acknowledged", got-before)
 	}
 }
 
-// A node is stopped while callers keep using it and its backend server still works
-// on a request of theirs. Nothing that was read is cut off, and nothing runs twice.
-func TestHostedStopCutsNobodyOff(t *testing.T) {
+// A node is stopped while callers keep sending requests to it and its backend server
+// still runs some. No request that the node has read may be aborted, and none may run
+// twice.
+func TestHostedStopFinishesRequests(t *testing.T) {
 	_, nodes := startHosted(t, 3)
 	for _, n := range nodes {
 		n.backend.Serve = func(w http.ResponseWriter, r *http.Request) {
@@ -263,8 +269,8 @@
 	stopping := nodes[0]
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	var lost []string
-	asked := 0
+	var failed []string
+	sent := 0
 	stopped := make(chan struct{})
 	for worker := range 6 {
 		wait.Go(func() {
@@ -274,15 +280,15 @@
 					return
 				default:
 				}
-				if statusOf(stopping.ready) != http.StatusOK && i > 3 {
+				if getStatus(stopping.ready) != http.StatusOK && i > 3 {
 					return
 				}
 				path := fmt.Sprintf("/order/%d-%d", worker, i)
-				a := ask(stopping, "POST", path, "farm-key")
+				a := sendHosted(stopping, "POST", path, "farm-key")
 				mu.Lock()
-				asked++
+				sent++
 				if a.status != http.StatusOK || a.body != path {
-					lost = append(lost, fmt.Sprintf("%s: %d %q", path, a.status, a.body))
+					failed = append(failed, fmt.Sprintf("%s: %d %q", path, a.status, a.body))
 				}
 				mu.Unlock()
 			}
@@ -296,8 +302,8 @@
 	}
 	close(stopped)
 	wait.Wait()
-	if len(lost) > 0 || asked < 10 {
-		t.Errorf("of %d requests lost %v", asked, lost)
+	if len(failed) > 0 || sent < 10 {
+		t.Errorf("of %d requests failed: %v", sent, failed)
 	}
 	var runs []string
 	for _, n := range nodes {
--- a/cmd/endtoend/input_test.go
+++ b/cmd/endtoend/input_test.go
@@ -16,28 +16,28 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// raw sends bytes to an address and returns all that comes back until the
-// other side closes.
-func raw(t *testing.T, address string, data []byte) string {
+// sendRaw sends bytes to an address and returns everything received until the other
+// side closes the connection.
+func sendRaw(t *testing.T, address string, data []byte) string {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer connection.Close()
-	if err := connection.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := connection.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _, _ = connection.Write(data) }() // the node may close before it has read all
-	answered, err := io.ReadAll(connection)
-	if err != nil && len(answered) == 0 && !strings.Contains(err.Error(), "reset") {
+	go func() { _, _ = connection.Write(data) }() // the node may close the connection before it has read everything
+	reply, err := io.ReadAll(connection)
+	if err != nil && len(reply) == 0 && !strings.Contains(err.Error(), "reset") {
 		t.Fatalf("got %v, want the node to answer or to close the connection", err)
 	}
-	return string(answered)
+	return string(reply)
 }
 
-// Hostile and broken callers reach a node. Each gets a clear answer, and the
-// node goes on serving the others.
+// Malformed and hostile requests from callers each get a specific error, and the node
+// still serves other callers.
 func TestBadInputFromCallers(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
@@ -68,16 +68,16 @@
 			if test.name == "truncated request" {
 				data = append(data, "\r\n\r\n"...)
 			}
-			if got := raw(t, d.north.callers, data); !strings.Contains(got, test.want) {
+			if got := sendRaw(t, d.north.callers, data); !strings.Contains(got, test.want) {
 				t.Errorf("got %.300q, want %q in it", got, test.want)
 			}
 		})
 	}
-	d.awaitAnswer(d.north)
+	d.awaitServing(d.north)
 }
 
-// Many connections send their header a byte at a time and hold the node's
-// memory. The node ends them, and serves others meanwhile.
+// Many connections send a part of their header and then stall, which would tie up the
+// node's memory. The node must close them and serve other callers meanwhile.
 func TestSlowCallers(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
@@ -93,25 +93,26 @@
 			t.Fatal(err)
 		}
 		go func() {
-			_ = connection.SetReadDeadline(time.Now().Add(patience)) // a passed deadline is reported below
+			_ = connection.SetReadDeadline(time.Now().Add(waitTimeout)) // a timeout is reported below
 			_, err := io.Copy(io.Discard, connection)
 			ended <- err
 		}()
 	}
 	c := startCallers(d, d.north, 2)
-	c.further(t, 50)
+	c.awaitMore(t, 50)
 	for range slow {
 		if err := <-ended; err != nil && !strings.Contains(err.Error(), "reset") {
 			t.Errorf("got %v, want the node to end the slow connection", err)
 		}
 	}
-	if bad := c.end(); len(bad) > 0 {
+	if bad := c.finish(); len(bad) > 0 {
 		t.Errorf("got %d of %d callers refused, the first %s, want none", len(bad), c.count(), bad[0])
 	}
 }
 
-// hello returns the first frame of a peer connection with a version.
-func hello(t *testing.T, version int) []byte {
+// helloFrame returns the first frame of a peer connection, with the given protocol
+// version.
+func helloFrame(t *testing.T, version int) []byte {
 	t.Helper()
 	payload, err := msgpack.Marshal(map[string]any{
 		"version":  version,
@@ -126,11 +127,11 @@
 
 func frame(t *testing.T, kind string, payload []byte) []byte {
 	t.Helper()
-	return frameOf(t, kind, len(payload), payload)
+	return frameWithLength(t, kind, len(payload), payload)
 }
 
-// frameOf returns a frame that says that its payload has that length.
-func frameOf(t *testing.T, kind string, length int, payload []byte) []byte {
+// frameWithLength returns a frame whose header declares the given payload length.
+func frameWithLength(t *testing.T, kind string, length int, payload []byte) []byte {
 	t.Helper()
 	var data []byte
 	for _, part := range []any{kind, uint32(0), int64(0), length} {
@@ -144,8 +145,9 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...)
 }
 
-// Something that is no node, or one of another version, reaches the peers'
-// port. The connection ends, the event says why, and the node goes on.
+// A client that is not a node, or a node with another protocol version, connects to the
+// peer port. The node must close the connection, log an event with the reason, and go
+// on serving.
 func TestBadInputFromPeers(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
@@ -155,17 +157,17 @@
 		want string
 	}{
 		{"garbage", bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 1000), "bytes are more than"},
-		{"frame that is none", []byte("\x00\x00\x00\x05hello"), "undecodable"},
-		{"other version", hello(t, 99), "protocol version 99"},
+		{"malformed frame", []byte("\x00\x00\x00\x05hello"), "undecodable"},
+		{"other version", helloFrame(t, 99), "protocol version 99"},
 		{"call before hello", frame(t, "call", nil), "first frame is no hello"},
-		{"garbage after hello", append(hello(t, peer.ProtocolVersion), bytes.Repeat([]byte{0xc1}, 64)...), "bytes are more than"},
-		{"unknown message", append(hello(t, peer.ProtocolVersion), frame(t, "message", []byte("\xa4none\xc0"))...), "unknown message kind"},
-		{"payload of another length", append(hello(t, peer.ProtocolVersion), frameOf(t, "message", 9, []byte("short"))...), "do not fit its length"},
-		{"frame kind of another version", append(hello(t, peer.ProtocolVersion), frame(t, "dance", nil)...), "unexpected frame dance"},
+		{"garbage after hello", append(helloFrame(t, peer.ProtocolVersion), bytes.Repeat([]byte{0xc1}, 64)...), "bytes are more than"},
+		{"unknown message", append(helloFrame(t, peer.ProtocolVersion), frame(t, "message", []byte("\xa4none\xc0"))...), "unknown message kind"},
+		{"payload of wrong length", append(helloFrame(t, peer.ProtocolVersion), frameWithLength(t, "message", 9, []byte("short"))...), "do not fit its length"},
+		{"frame kind of another version", append(helloFrame(t, peer.ProtocolVersion), frame(t, "dance", nil)...), "unexpected frame dance"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			raw(t, d.north.peers, test.data)
+			sendRaw(t, d.north.peers, test.data)
 			eventually(t, "the event says why", func() bool {
 				for line := range strings.Lines(d.north.output.String()) {
 					if strings.Contains(line, `"code":903`) && strings.Contains(line, test.want) {
@@ -176,7 +178,7 @@
 			})
 		})
 	}
-	d.awaitAnswer(d.north)
+	d.awaitServing(d.north)
 	if got := get(t, d.south.callers, "/"+service+"/after", d.key).status; got != http.StatusOK {
 		t.Errorf("got status %d at the other node, want 200", got)
 	}
--- a/cmd/endtoend/kill_test.go
+++ b/cmd/endtoend/kill_test.go
@@ -12,16 +12,16 @@
 	"github.com/google/uuid"
 )
 
-// order is one unrepeatable request and what its caller was told.
+// order is one unrepeatable request and the outcome that its caller saw.
 type order struct {
 	key       string
 	status    int
 	execution string
 	refusal   string
-	whole     bool
+	complete  bool
 }
 
-// orders are callers that place unrepeatable orders until they are told to stop.
+// orders are callers that place unrepeatable orders until check stops them.
 type orders struct {
 	stop chan struct{}
 	wait sync.WaitGroup
@@ -39,7 +39,7 @@
 					return
 				default:
 				}
-				placed := place(d, node)
+				placed := placeOrder(d, node)
 				o.mu.Lock()
 				o.all = append(o.all, placed)
 				o.mu.Unlock()
@@ -49,7 +49,7 @@
 	return o
 }
 
-func place(d *deployment, node *nodeProcess) order {
+func placeOrder(d *deployment, node *nodeProcess) order {
 	o := order{key: uuid.Must(uuid.NewV7()).String()}
 	body := "order " + o.key
 	request, err := http.NewRequest(http.MethodPost, "http://"+node.callers+"/"+service+"/orders", strings.NewReader(body))
@@ -68,8 +68,8 @@
 	o.status = response.StatusCode
 	o.execution = response.Header.Get("Coltsfootward-Execution")
 	o.refusal = response.Header.Get("Coltsfootward-Refusal")
-	o.whole = err == nil
-	if o.whole && o.status == http.StatusOK && !strings.Contains(string(text), body) {
+	o.complete = err == nil
+	if o.complete && o.status == http.StatusOK && !strings.Contains(string(text), body) {
 		d.t.Errorf("got %q, want the answer to %q", text, body)
 	}
 	return o
@@ -87,14 +87,15 @@
 	return n
 }
 
-// further waits until n more orders are answered.
-func (o *orders) further(t *testing.T, n int) {
+// awaitMore waits until n more orders have got status 200.
+func (o *orders) awaitMore(t *testing.T, n int) {
 	t.Helper()
 	target := o.count(http.StatusOK) + n
 	eventually(t, fmt.Sprintf("%d further orders are answered", n), func() bool { return o.count(http.StatusOK) >= target })
 }
 
-// check compares what callers were told with what ran.
+// check stops the callers and compares the outcomes that they saw with the requests
+// that ran.
 func (o *orders) check(d *deployment, backends ...string) {
 	d.t.Helper()
 	close(o.stop)
@@ -105,14 +106,14 @@
 			ran[key] += n
 		}
 	}
-	told := make(map[string]int)
+	counts := make(map[string]int)
 	for _, placed := range o.all {
-		told[strings.TrimSpace(fmt.Sprintf("%d %s %s", placed.status, placed.refusal, placed.execution))]++
+		counts[strings.TrimSpace(fmt.Sprintf("%d %s %s", placed.status, placed.refusal, placed.execution))]++
 		if err := placed.check(ran[placed.key]); err != nil {
 			d.t.Errorf("order %s: %v", placed.key, err)
 		}
 	}
-	d.t.Logf("of %d orders callers were told: %v", len(o.all), told)
+	d.t.Logf("outcomes of %d orders: %v", len(o.all), counts)
 }
 
 func (o order) check(runs int) error {
@@ -120,44 +121,44 @@
 	case runs > 1:
 		return fmt.Errorf("ran %d times, want at most once", runs)
 	case o.execution == "not_run" && runs != 0:
-		return errors.New("told not_run, but it ran")
-	case o.status == http.StatusOK && o.whole && runs != 1:
+		return errors.New("reported not_run, but it ran")
+	case o.status == http.StatusOK && o.complete && runs != 1:
 		return fmt.Errorf("answered, but ran %d times", runs)
 	default:
 		return nil
 	}
 }
 
-// An instance dies without a word while subscribers place orders through
-// another one. Callers are answered or told the truth: what is called "not
-// run" did not run, and nothing runs twice. A new node beside the same backend
-// server then serves again.
+// A node is killed while callers place orders through another node. Orders reported as
+// not_run must not have run, and none may run twice. A new node with a new backend server
+// must then serve requests again.
 func TestKilledNodeUnderLoad(t *testing.T) {
 	t.Parallel()
-	// Few slots, so that the callers' own domain is full and work spills over.
+	// With few slots, the callers' own domain is saturated and requests overflow to the
+	// other domain.
 	small := []string{"--slots", "4", "--connections", "64", "--time", "5ms"}
 	d := startDeployment(t, small...)
 	o := startOrders(d, d.north, 12)
 	eventually(t, "the other domain's backend server has work", func() bool { return d.runs(d.southBackend).Total > 20 })
-	o.further(t, 100)
+	o.awaitMore(t, 100)
 	d.south.kill()
-	o.further(t, 200)
+	o.awaitMore(t, 200)
 	d.south = startNode(t, "south-1", "south", d.platform)
 	returned, _ := startBackend(t, d.south, small...)
 	d.awaitUpstreams(d.north, 2)
 	eventually(t, "the returned instance serves again", func() bool { return d.runs(returned).Total > 0 })
-	o.further(t, 100)
+	o.awaitMore(t, 100)
 	o.check(d, d.northBackend, d.southBackend, returned)
 }
 
-// The entry node dies: its callers lose their connections, but nothing that
-// they placed ran twice, and other nodes go on serving.
+// The entry node is killed and its callers lose their connections. No order may run
+// twice, and other nodes must go on serving.
 func TestKilledEntryNode(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t, "--slots", "64", "--connections", "64", "--time", "5ms")
 	o := startOrders(d, d.north, 8)
-	o.further(t, 100)
+	o.awaitMore(t, 100)
 	d.north.kill()
-	d.awaitAnswer(d.south)
+	d.awaitServing(d.south)
 	o.check(d, d.northBackend, d.southBackend)
 }
--- a/cmd/endtoend/outage_test.go
+++ b/cmd/endtoend/outage_test.go
@@ -10,59 +10,59 @@
 	"coltsfootward/standin/platform"
 )
 
-// The platform goes away under traffic. Callers notice nothing, an operator's
-// change ends in doubt with its change id, and sent again with it after the
-// outage it is applied once.
+// The platform is unavailable under load. Callers must not be affected. An operator's
+// change must end with the exit code for an unknown outcome and report its change id.
+// Sent again with that change id after the outage, it must be applied only once.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
 	c := startCallers(d, d.north, 4)
-	c.further(t, 50)
-	d.fail(platform.Failure{Outage: true})
+	c.awaitMore(t, 50)
+	d.setFailure(platform.Failure{Outage: true})
 	eventually(t, "both nodes notice", func() bool {
 		return !d.status(d.north).PlatformAvailable && !d.status(d.south).PlatformAvailable
 	})
-	c.further(t, 200)
+	c.awaitMore(t, 200)
 	change := []string{"--wait", "2s", "organisation", "set", "brokers", "--rate", "5", "--burst", "10", "--change-id", "brokers-1"}
-	doubt := tryCtl(t, "", d.north.operators, change...)
-	if doubt.code != 5 || !strings.Contains(doubt.errout, "brokers-1") {
-		t.Errorf("got exit code %d and %q during the outage, want 5 and the change id", doubt.code, doubt.errout)
+	duringOutage := tryCtl(t, "", d.north.operators, change...)
+	if duringOutage.code != 5 || !strings.Contains(duringOutage.stderr, "brokers-1") {
+		t.Errorf("got exit code %d and %q during the outage, want 5 and the change id", duringOutage.code, duringOutage.stderr)
 	}
-	d.fail(platform.Failure{})
+	d.setFailure(platform.Failure{})
 	var first outcome
 	eventually(t, "the change is in force", func() bool {
 		first = tryCtl(t, "", d.north.operators, change...)
 		return first.code == 0
 	})
 	again := tryCtl(t, "", d.south.operators, change...)
-	if again.code != 0 || again.out != first.out {
-		t.Errorf("got %d %q for the change sent again, want 0 %q", again.code, again.out, first.out)
+	if again.code != 0 || again.stdout != first.stdout {
+		t.Errorf("got %d %q for the change sent again, want 0 %q", again.code, again.stdout, first.stdout)
 	}
-	if bad := c.end(); len(bad) > 0 {
+	if bad := c.finish(); len(bad) > 0 {
 		t.Errorf("got %d of %d callers refused, the first %s, want none", len(bad), c.count(), bad[0])
 	}
 }
 
-// Every answer to a write is lost after the write took effect. An operator's
-// change must be told as what it is, stored, and be applied once.
-func TestLostWriteAnswers(t *testing.T) {
+// Every response to a write is lost after the write took effect. An operator's change
+// must be reported as stored, and be applied only once.
+func TestLostWriteResponses(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
-	d.fail(platform.Failure{LoseWriteAnswers: true})
-	var told outcome
+	d.setFailure(platform.Failure{LoseWriteResponses: true})
+	var result outcome
 	eventually(t, "the change is in force", func() bool {
-		told = tryCtl(t, "", d.north.operators, "organisation", "set", "brokers", "--rate", "5", "--burst", "10", "--change-id", "brokers-1")
-		return told.code == 0
+		result = tryCtl(t, "", d.north.operators, "organisation", "set", "brokers", "--rate", "5", "--burst", "10", "--change-id", "brokers-1")
+		return result.code == 0
 	})
-	d.fail(platform.Failure{})
+	d.setFailure(platform.Failure{})
 	for _, node := range []*nodeProcess{d.north, d.south} {
-		if got := revisionOf(t, node, "brokers"); !strings.HasPrefix(told.out, fmt.Sprintf("revision %s ", got)) {
-			t.Errorf("got revision %s in the list, want that of %q", got, told.out)
+		if got := revisionOf(t, node, "brokers"); !strings.HasPrefix(result.stdout, fmt.Sprintf("revision %s ", got)) {
+			t.Errorf("got revision %s in the list, want that of %q", got, result.stdout)
 		}
 	}
 }
 
-// revisionOf returns the revision of an organisation as a node lists it.
+// revisionOf returns the revision of an organisation according to a node.
 func revisionOf(t *testing.T, node *nodeProcess, name string) string {
 	t.Helper()
 	var list struct {
@@ -82,9 +82,9 @@
 	return ""
 }
 
-// Operators change one organisation at the same moment through two nodes, all
-// having seen the same revision. One wins; the others are told of the conflict.
-func TestOperatorsRace(t *testing.T) {
+// Operators change one organisation concurrently through two nodes, all based on the
+// same revision. One change must succeed; the others must fail with a conflict.
+func TestConcurrentOperatorChanges(t *testing.T) {
 	t.Parallel()
 	const operators = 8
 	d := startDeployment(t)
@@ -108,9 +108,9 @@
 		case o.code == 0 && winner < 0:
 			winner = i
 		case o.code == 0:
-			t.Errorf("got operators %d and %d told that they won, want one", winner, i)
+			t.Errorf("the changes of operators %d and %d both succeeded, want one", winner, i)
 		case o.code != 3:
-			t.Errorf("operator %d: got exit code %d and %q, want 0 or 3", i, o.code, o.errout)
+			t.Errorf("operator %d: got exit code %d and %q, want 0 or 3", i, o.code, o.stderr)
 		}
 	}
 	if winner < 0 {
--- a/cmd/endtoend/path_test.go
+++ b/cmd/endtoend/path_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestWholePath(t *testing.T) {
+func TestRequestPath(t *testing.T) {
 	platform := startPlatform(t)
 	north := startNode(t, "north-1", "north", platform)
 	south := startNode(t, "south-1", "south", platform)
@@ -15,7 +15,7 @@
 	ctl(t, north.operators, "organisation", "set", "traders", "--rate", "0.001", "--burst", "40")
 	key := ctl(t, north.operators, "key", "issue", "traders-1", "--organisation", "traders")
 
-	var first answer
+	var first callerResponse
 	eventually(t, "the request is answered", func() bool {
 		first = get(t, north.callers, "/quotes/urea?x=1", key)
 		return first.status == http.StatusOK
--- a/cmd/endtoend/process_test.go
+++ b/cmd/endtoend/process_test.go
@@ -17,18 +17,18 @@
 	"time"
 )
 
-var programs string
+var programDirectory string
 
-// patience bounds every wait. It is long, so that no verdict hangs on the
-// machine's speed.
-const patience = 90 * time.Second
+// waitTimeout bounds every wait. It is long, so that no result depends on the machine's
+// speed.
+const waitTimeout = 90 * time.Second
 
-// atOnce is how many tests run at once. Each runs half a dozen processes, and
-// more of them only wait for the machine.
-const atOnce = "3"
+// maxParallelTests is the value of the flag test.parallel. Each test runs half a dozen
+// processes, so that more tests at once would only compete for the processors.
+const maxParallelTests = "3"
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("test.parallel", atOnce); err != nil {
+	if err := flag.Set("test.parallel", maxParallelTests); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -42,7 +42,7 @@
 		return 1
 	}
 	defer os.RemoveAll(directory)
-	programs = directory
+	programDirectory = directory
 	build := exec.Command("go", "build", "-o", directory,
 		"coltsfootward/cmd/coltsfootward", "coltsfootward/cmd/coltsfootctl", "coltsfootward/cmd/standin")
 	if output, err := build.CombinedOutput(); err != nil {
@@ -52,7 +52,7 @@
 	return m.Run()
 }
 
-// process is one program that a test started.
+// process is one program that a test started. Its output holds both stdout and stderr.
 type process struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -72,7 +72,7 @@
 	return b.buffer.Write(p)
 }
 
-// String returns what was written so far.
+// String returns everything written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +81,7 @@
 
 func start(t *testing.T, program string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, command: exec.Command(filepath.Join(programs, program), args...), output: &lockedBuffer{}}
+	p := &process{t: t, command: exec.Command(filepath.Join(programDirectory, program), args...), output: &lockedBuffer{}}
 	p.command.Stdout = p.output
 	p.command.Stderr = p.output
 	if err := p.command.Start(); err != nil {
@@ -98,12 +98,13 @@
 
 func (p *process) kill() {
 	p.once.Do(func() {
-		_ = p.command.Process.Kill() // it may have ended
+		_ = p.command.Process.Kill() // the process may have ended already
 		_ = p.command.Wait()
 	})
 }
 
-// wait waits until the process ends by itself and returns its exit code.
+// wait waits until the process exits and returns its exit code. It kills the process
+// and fails the test after waitTimeout.
 func (p *process) wait() int {
 	p.t.Helper()
 	ended := make(chan error, 1)
@@ -111,16 +112,15 @@
 		go func() { ended <- p.command.Wait() }()
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			_ = p.command.Process.Kill() // reported below
 			<-ended
-			p.t.Error("the process did not end by itself")
+			p.t.Error("the process did not exit in time")
 		}
 	})
 	return p.command.ProcessState.ExitCode()
 }
 
-// signal sends a signal to the process.
 func (p *process) signal(signal os.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
@@ -128,39 +128,39 @@
 	}
 }
 
-// outcome is what one run of coltsfootctl gave.
+// outcome is the result of one run of coltsfootctl.
 type outcome struct {
-	code        int
-	out, errout string
+	code           int
+	stdout, stderr string
 }
 
-// tryCtl runs coltsfootctl and returns what it gave.
+// tryCtl runs coltsfootctl and returns its result, whatever its exit code.
 func tryCtl(t *testing.T, input, node string, args ...string) outcome {
 	t.Helper()
-	command := exec.Command(filepath.Join(programs, "coltsfootctl"), append([]string{"--node", node}, args...)...)
-	var out, errout bytes.Buffer
-	command.Stdin, command.Stdout, command.Stderr = strings.NewReader(input), &out, &errout
+	command := exec.Command(filepath.Join(programDirectory, "coltsfootctl"), append([]string{"--node", node}, args...)...)
+	var stdout, stderr bytes.Buffer
+	command.Stdin, command.Stdout, command.Stderr = strings.NewReader(input), &stdout, &stderr
 	err := command.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
-	return outcome{command.ProcessState.ExitCode(), strings.TrimSpace(out.String()), strings.TrimSpace(errout.String())}
+	return outcome{command.ProcessState.ExitCode(), strings.TrimSpace(stdout.String()), strings.TrimSpace(stderr.String())}
 }
 
 func ctl(t *testing.T, node string, args ...string) string {
 	t.Helper()
-	command := exec.Command(filepath.Join(programs, "coltsfootctl"), append([]string{"--node", node}, args...)...)
-	var notes bytes.Buffer
-	command.Stderr = &notes
+	command := exec.Command(filepath.Join(programDirectory, "coltsfootctl"), append([]string{"--node", node}, args...)...)
+	var stderr bytes.Buffer
+	command.Stderr = &stderr
 	output, err := command.Output()
 	if err != nil {
-		t.Fatalf("coltsfootctl %v: %v\n%s%s", args, err, output, notes.String())
+		t.Fatalf("coltsfootctl %v: %v\n%s%s", args, err, output, stderr.String())
 	}
 	return strings.TrimSpace(string(output))
 }
 
-// listening waits until a stand-in has said where it listens.
+// listening waits until a stand-in has printed its address, and returns the address.
 func (p *process) listening() string {
 	p.t.Helper()
 	var address string
@@ -173,14 +173,14 @@
 	return address
 }
 
-// nodeProcess is a running node with its addresses.
+// nodeProcess is a running node with its listening addresses.
 type nodeProcess struct {
 	*process
 	callers, backend, peers, operators string
 }
 
-// startNode starts a node on ports that the machine chooses and waits until it
-// has said which. Ports chosen beforehand could be taken by others meanwhile.
+// startNode starts a node on ports that the kernel chooses and waits until the node has
+// logged them. Ports chosen beforehand could be taken by other processes meanwhile.
 func startNode(t *testing.T, id, domain, platform string) *nodeProcess {
 	t.Helper()
 	text := fmt.Sprintf(`[instance]
@@ -206,7 +206,7 @@
 	return startNodeFrom(t, id, text)
 }
 
-// startNodeFrom starts a node with the text of a settings file.
+// startNodeFrom starts a node with the given content of its settings file.
 func startNodeFrom(t *testing.T, id, text string) *nodeProcess {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), id+".toml")
@@ -229,26 +229,26 @@
 	return n
 }
 
-// eventually waits until check returns true.
+// eventually waits until check returns true and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, check func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		if check() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("did not come true in time: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-type answer struct {
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func get(t *testing.T, address, path, key string) answer {
+func get(t *testing.T, address, path, key string) callerResponse {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -257,12 +257,12 @@
 	request.Header.Set("Authorization", "Bearer "+key)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{}
+		return callerResponse{}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answer{response.StatusCode, response.Header, string(body)}
+	return callerResponse{response.StatusCode, response.Header, string(body)}
 }
--- a/cmd/endtoend/stop_test.go
+++ b/cmd/endtoend/stop_test.go
@@ -13,30 +13,30 @@
 	"coltsfootward/standin/backend"
 )
 
-// downloadSize is more than all buffers between backend server and caller
-// hold, so that a download whose reader waits is surely not over.
+// downloadSize exceeds the capacity of all buffers between backend server and caller,
+// so that a download whose reader has paused cannot have finished.
 const downloadSize = 24 << 20
 
-// download is a running download. Its reader waits after the first bytes
-// until it may go on.
+// download is a download in progress. Its reader pauses after the first bytes until
+// resume is closed.
 type download struct {
-	begun chan struct{}
-	goOn  chan struct{}
-	err   error
+	begun  chan struct{}
+	resume chan struct{}
+	err    error
 }
 
-// downloads starts n downloads at a node and waits until each has begun.
-func downloads(d *deployment, node *nodeProcess, n int) (all []*download, wait *sync.WaitGroup) {
+// startDownloads starts n downloads through a node and waits until each has begun.
+func startDownloads(d *deployment, node *nodeProcess, n int) (all []*download, wait *sync.WaitGroup) {
 	d.t.Helper()
 	wait = &sync.WaitGroup{}
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	for i := range n {
-		one := &download{begun: make(chan struct{}), goOn: goOn}
-		all = append(all, one)
-		wait.Go(func() { one.err = one.run(d, node, fmt.Sprintf("log-%d", i)) })
+		started := &download{begun: make(chan struct{}), resume: resume}
+		all = append(all, started)
+		wait.Go(func() { started.err = started.run(d, node, fmt.Sprintf("log-%d", i)) })
 	}
-	for _, one := range all {
-		<-one.begun
+	for _, started := range all {
+		<-started.begun
 	}
 	return all, wait
 }
@@ -61,7 +61,7 @@
 		return fmt.Errorf("status %d: %w", response.StatusCode, err)
 	}
 	begun()
-	<-o.goOn
+	<-o.resume
 	if err := compare(response.Body, want, downloadSize-64<<10); err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// compare reads the next bytes of a download piece by piece: held whole, the
-// downloads would take more memory than the rest of the tests together.
+// compare reads and compares the next size bytes in pieces of 32 KiB. Whole downloads
+// in memory would take more space than all other tests together.
 func compare(got, want io.Reader, size int) error {
 	piece, wanted := make([]byte, 32<<10), make([]byte, 32<<10)
 	for read := 0; read < size; read += len(piece) {
@@ -89,11 +89,9 @@
 	return nil
 }
 
-// Operators restart a node while crews pull large run logs through it. A
-// download that is cut off sends a truck out blind. The signal comes while
-// every download waits half-way; each must end whole, and the node must then
-// exit by itself.
-func TestStopCutsOffNoDownload(t *testing.T) {
+// Guards against truncated downloads when a node is restarted. The signal arrives while
+// every download is paused half-way; each must complete, and the node must then exit.
+func TestStopFinishesDownloads(t *testing.T) {
 	for _, stopped := range []string{"entry node", "upstream's node"} {
 		t.Run(stopped, func(t *testing.T) {
 			t.Parallel()
@@ -102,16 +100,16 @@
 			if stopped == "upstream's node" {
 				node = d.south
 			}
-			all, wait := downloads(d, d.north, 6)
+			all, wait := startDownloads(d, d.north, 6)
 			node.signal(syscall.SIGTERM)
 			eventually(t, "the node is draining", func() bool {
 				return bytes.Contains([]byte(node.output.String()), []byte("node_draining"))
 			})
-			close(all[0].goOn)
+			close(all[0].resume)
 			wait.Wait()
-			for i, one := range all {
-				if one.err != nil {
-					t.Errorf("download %d: got %v, want it whole", i, one.err)
+			for i, finished := range all {
+				if finished.err != nil {
+					t.Errorf("download %d: got %v, want it complete", i, finished.err)
 				}
 			}
 			if code := node.wait(); code != 0 {
@@ -121,16 +119,17 @@
 	}
 }
 
-// callers send short requests without a pause until they are told to stop.
+// callers send short requests without a pause until finish is called.
 type callers struct {
-	stop chan struct{}
-	wait sync.WaitGroup
-	mu   sync.Mutex
-	bad  []string
-	done int
+	stop      chan struct{}
+	wait      sync.WaitGroup
+	mu        sync.Mutex
+	failures  []string
+	responses int
 }
 
-// startCallers starts n callers at a node. Each answer must be whole and good.
+// startCallers starts n callers at a node. Each response must be complete, with status
+// 200 and the expected body.
 func startCallers(d *deployment, node *nodeProcess, n int) *callers {
 	c := &callers{stop: make(chan struct{})}
 	for i := range n {
@@ -143,79 +142,78 @@
 				}
 				path := fmt.Sprintf("/short/%d/%d", i, j)
 				got := get(d.t, node.callers, "/"+service+path, d.key)
-				c.note(got, fmt.Sprintf("GET %s ", path))
+				c.record(got, fmt.Sprintf("GET %s ", path))
 			}
 		})
 	}
 	return c
 }
 
-func (c *callers) note(got answer, want string) {
+func (c *callers) record(got callerResponse, want string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.done++
+	c.responses++
 	if got.status != http.StatusOK || !bytes.HasPrefix([]byte(got.body), []byte(want)) {
-		c.bad = append(c.bad, fmt.Sprintf("%d %s %s %q", got.status,
+		c.failures = append(c.failures, fmt.Sprintf("%d %s %s %q", got.status,
 			got.header.Get("Coltsfootward-Refusal"), got.header.Get("Coltsfootward-Execution"), got.body))
 	}
 }
 
-// count returns how many answers came so far.
+// count returns the number of responses so far.
 func (c *callers) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.done
+	return c.responses
 }
 
-// further waits until n more answers have come.
-func (c *callers) further(t *testing.T, n int) {
+// awaitMore waits until n more responses have been received.
+func (c *callers) awaitMore(t *testing.T, n int) {
 	t.Helper()
 	target := c.count() + n
-	eventually(t, fmt.Sprintf("%d further answers come", n), func() bool { return c.count() >= target })
+	eventually(t, fmt.Sprintf("%d further responses", n), func() bool { return c.count() >= target })
 }
 
-func (c *callers) end() []string {
+func (c *callers) finish() []string {
 	close(c.stop)
 	c.wait.Wait()
-	return c.bad
+	return c.failures
 }
 
-// A node and then a backend server are taken out under steady traffic. No
-// caller at another node may notice: what was refused as draining did not run
-// and goes elsewhere.
-func TestDrainUnderLoadRefusesNobody(t *testing.T) {
+// A node is drained under steady load. No caller at another node may notice: a request
+// that is refused because the node is draining has not run, and is sent elsewhere.
+func TestNodeDrainUnderLoad(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t, "--slots", "64", "--connections", "64", "--time", "2ms")
 	c := startCallers(d, d.north, 8)
-	c.further(t, 200)
+	c.awaitMore(t, 200)
 	d.south.signal(syscall.SIGTERM)
 	if code := d.south.wait(); code != 0 {
 		t.Errorf("got exit code %d, want 0", code)
 	}
-	c.further(t, 200)
-	if bad := c.end(); len(bad) > 0 {
-		t.Errorf("got %d of %d callers refused or cut off, the first %s, want none", len(bad), c.count(), bad[0])
+	c.awaitMore(t, 200)
+	if failures := c.finish(); len(failures) > 0 {
+		t.Errorf("got %d of %d callers refused or cut off, the first %s, want none", len(failures), c.count(), failures[0])
 	}
 }
 
-func TestBackendDrainUnderLoadRefusesNobody(t *testing.T) {
+func TestBackendDrainUnderLoad(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t, "--slots", "64", "--connections", "64", "--time", "2ms")
 	c := startCallers(d, d.north, 8)
-	c.further(t, 200)
-	d.behave(d.southBackend, backend.Behaviour{Draining: true})
+	c.awaitMore(t, 200)
+	d.setBehaviour(d.southBackend, backend.Behaviour{Draining: true})
 	eventually(t, "the leaving backend server receives nothing while 400 others are answered", func() bool {
 		before := d.runs(d.southBackend).Total
-		c.further(t, 400)
+		c.awaitMore(t, 400)
 		return d.runs(d.southBackend).Total == before
 	})
-	if bad := c.end(); len(bad) > 0 {
-		t.Errorf("got %d of %d callers refused or cut off, the first %s, want none", len(bad), c.count(), bad[0])
+	if failures := c.finish(); len(failures) > 0 {
+		t.Errorf("got %d of %d callers refused or cut off, the first %s, want none", len(failures), c.count(), failures[0])
 	}
 }
 
-// The operators' drain ends the process as a signal does.
-func TestOperatorsDrainEndsTheNode(t *testing.T) {
+// A drain requested by an operator ends the process, as SIGTERM does.
+func TestOperatorDrainStopsNode(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
 	ctl(t, d.south.operators, "drain")
@@ -223,5 +221,5 @@
 		t.Errorf("got exit code %d, want 0", code)
 	}
 	d.awaitUpstreams(d.north, 1)
-	d.awaitAnswer(d.north)
+	d.awaitServing(d.north)
 }
--- a/cmd/fleet/doc.go
+++ b/cmd/fleet/doc.go
@@ -1,3 +1,3 @@
 // Package fleet runs nodes of a hosted deployment as processes on this machine, for
-// tools that measure or harm them from outside.
+// tools that measure them or inject faults from outside.
 package fleet
--- a/cmd/fleet/node.go
+++ b/cmd/fleet/node.go
@@ -13,43 +13,45 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Options say which node is run. All must be set.
+// Options configure a node. Every field must be set, except that RetryShare and
+// RetryCapacity may be zero.
 type Options struct {
-	// Program is the node's executable, Directory where its settings and log go.
+	// Program is the path of the node's executable. Directory is where its settings and
+	// log are written.
 	Program, Directory string
 	Number             int
 	Domain             string
-	// Domains are all failure domains of the deployment.
+	// Domains lists all failure domains of the deployment.
 	Domains []string
 	Ports   Ports
-	// Backend is the address of the backend server beside the node, Service its
-	// service.
+	// Backend is the address of the backend server beside the node, and Service the
+	// service that it provides.
 	Backend, Service string
 	// Store is the address of the platform's store.
 	Store string
-	// Grace is how long after SIGTERM the node may run, Notice how long callers go
-	// on coming after it said that it is not ready any more.
+	// Grace is how long the node may run after SIGTERM. Notice is how long it still
+	// accepts callers after it has reported that it is no longer ready.
 	Grace, Notice time.Duration
-	// RetryShare and RetryCapacity bound the node's own repeats.
+	// RetryShare and RetryCapacity limit the node's own retries.
 	RetryShare, RetryCapacity float64
 }
 
-// readyTimeout bounds one question whether a node is ready.
+// readyTimeout bounds one readiness check.
 const readyTimeout = 500 * time.Millisecond
 
-// Node is one node as a process. Create it with NewNode. It is safe for concurrent
-// use.
+// Node is one node process. Create it with NewNode. It is safe for concurrent use.
 type Node struct {
-	options Options
-	file    string
-	log     *os.File
+	options      Options
+	settingsFile string
+	log          *os.File
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	ended   chan struct{}
 }
 
-// NewNode writes the settings of a node that does not run yet.
+// NewNode writes a node's settings file and creates its log. It does not start the
+// process.
 func NewNode(o Options) (*Node, error) {
 	type table = map[string]any
 	text, err := toml.Marshal(table{
@@ -67,8 +69,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: settings of node %d: %w", o.Number, err)
 	}
-	n := &Node{options: o, file: filepath.Join(o.Directory, fmt.Sprintf("node-%d.toml", o.Number))}
-	if err := os.WriteFile(n.file, text, 0o600); err != nil {
+	n := &Node{options: o, settingsFile: filepath.Join(o.Directory, fmt.Sprintf("node-%d.toml", o.Number))}
+	if err := os.WriteFile(n.settingsFile, text, 0o600); err != nil {
 		return nil, fmt.Errorf("fleet: settings of node %d: %w", o.Number, err)
 	}
 	if n.log, err = os.Create(filepath.Join(o.Directory, fmt.Sprintf("node-%d.log", o.Number))); err != nil {
@@ -77,20 +79,20 @@
 	return n, nil
 }
 
-// Number returns which node of its fleet it is.
+// Number returns the node's index in its fleet.
 func (n *Node) Number() int { return n.options.Number }
 
-// Ports returns where it listens.
+// Ports returns the addresses at which the node listens.
 func (n *Node) Ports() Ports { return n.options.Ports }
 
-// Start starts the process unless it runs.
+// Start starts the process unless it is running.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command != nil {
 		return nil
 	}
-	command := exec.Command(n.options.Program, "run", n.file)
+	command := exec.Command(n.options.Program, "run", n.settingsFile)
 	command.Stdout, command.Stderr = n.log, n.log
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("fleet: start node %d: %w", n.options.Number, err)
@@ -98,7 +100,7 @@
 	ended := make(chan struct{})
 	n.command, n.ended = command, ended
 	go func() {
-		_ = command.Wait() // how it ended stands in its log
+		_ = command.Wait() // the node's log shows how it ended
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.command = nil
@@ -107,20 +109,20 @@
 	return nil
 }
 
-// Signal sends the process a signal, if it runs, and returns what is closed at its
-// end; nil if it does not run.
+// Signal sends a signal to the process and returns a channel that is closed when the
+// process ends. It returns nil if the process is not running.
 func (n *Node) Signal(s syscall.Signal) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command == nil {
 		return nil
 	}
-	_ = n.command.Process.Signal(s) // it may just have ended
+	_ = n.command.Process.Signal(s) // the process may have ended meanwhile
 	return n.ended
 }
 
-// Process returns the process's id, zero if it does not run.
-func (n *Node) Process() int {
+// PID returns the process id, or zero if the process is not running.
+func (n *Node) PID() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command == nil {
@@ -129,7 +131,7 @@
 	return n.command.Process.Pid
 }
 
-// Ready reports whether the node says that callers may come.
+// Ready reports whether the node's readiness endpoint returns 200 OK.
 func (n *Node) Ready() bool {
 	client := http.Client{Timeout: readyTimeout}
 	response, err := client.Get("http://" + n.options.Ports.Ready + "/ready")
@@ -140,7 +142,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Close kills the process, if it runs, and waits for its end.
+// Close kills the process if it is running, waits for its end and closes its log.
 func (n *Node) Close() {
 	if ended := n.Signal(syscall.SIGKILL); ended != nil {
 		<-ended
--- a/cmd/fleet/ports.go
+++ b/cmd/fleet/ports.go
@@ -6,12 +6,12 @@
 	"net"
 )
 
-// The ports of nodes lie below those that the machine hands out by itself: a node's
-// own port would else be taken by some connection while the node is down.
+// Ports are chosen below the kernel's ephemeral range. Otherwise the kernel could give
+// a node's port to an outgoing connection while the node is down.
 const (
-	lowestPort  = 12000
-	highestPort = 32000
-	portTries   = 4000
+	lowestPort      = 12000
+	highestPort     = 32000
+	maxPortAttempts = 4000
 )
 
 // Ports are the addresses at which a node listens.
@@ -19,29 +19,29 @@
 	Callers, Backend, Peers, Operators, Ready string
 }
 
-// FreePorts returns addresses for count nodes at which nothing listens. They are
-// taken all at once, since a node that is starting doesn't hold its own yet.
+// FreePorts returns unused addresses for count nodes. It reserves all of them before it
+// releases any, since a starting node does not listen on its addresses yet.
 func FreePorts(count int) ([]Ports, error) { return freePorts(count, lowestPort, highestPort) }
 
-// freePorts takes ports from lowest up to but not including highest.
+// freePorts chooses ports in [lowest, highest).
 func freePorts(count, lowest, highest int) ([]Ports, error) {
 	nodes := make([]Ports, count)
-	var wanted []*string
+	var unassigned []*string
 	for i := range nodes {
 		n := &nodes[i]
-		wanted = append(wanted, &n.Callers, &n.Backend, &n.Peers, &n.Operators, &n.Ready)
+		unassigned = append(unassigned, &n.Callers, &n.Backend, &n.Peers, &n.Operators, &n.Ready)
 	}
-	for range portTries {
-		if len(wanted) == 0 {
+	for range maxPortAttempts {
+		if len(unassigned) == 0 {
 			return nodes, nil
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(highest-lowest))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			continue // taken; there are others
+			continue // the port is in use; try another one
 		}
 		defer listener.Close()
-		*wanted[0], wanted = address, wanted[1:]
+		*unassigned[0], unassigned = address, unassigned[1:]
 	}
-	return nil, fmt.Errorf("fleet: %d nodes find no free ports between %d and %d", count, lowest, highest)
+	return nil, fmt.Errorf("fleet: no free ports for %d nodes between %d and %d", count, lowest, highest)
 }
--- a/cmd/fleet/ports_test.go
+++ b/cmd/fleet/ports_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A node's ports were taken by another one of the fleet that had not begun to listen.
-func TestPortsOfAFleetDiffer(t *testing.T) {
+// Guards against one port being given to two nodes of a fleet, the first of which has
+// not begun to listen on it yet.
+func TestFreePortsAreDistinct(t *testing.T) {
 	const count, lowest, highest = 4, 21000, 21080
 	nodes, err := freePorts(count, lowest, highest)
 	if err != nil {
@@ -13,7 +14,7 @@
 	for _, n := range nodes {
 		for _, address := range []string{n.Callers, n.Backend, n.Peers, n.Operators, n.Ready} {
 			if address == "" || seen[address] {
-				t.Errorf("address %q is empty or given out twice", address)
+				t.Errorf("address %q is empty or assigned twice", address)
 			}
 			seen[address] = true
 		}
@@ -23,8 +24,8 @@
 	}
 }
 
-func TestPortsThatDoNotSuffice(t *testing.T) {
+func TestFreePortsTooFew(t *testing.T) {
 	if _, err := freePorts(2, 21100, 21103); err == nil {
-		t.Error("two nodes have ports out of three, want an error")
+		t.Error("got ports for two nodes from a range of three, want an error")
 	}
 }
--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// callerDeadline is how long callers wait, callerSlack how long after that they
-	// still listen.
+	// callerDeadline is the deadline that callers send with each request. Their HTTP
+	// clients time out clientMargin later, so that a late response is still recorded.
 	callerDeadline = 1500 * time.Millisecond
-	callerSlack    = 3 * time.Second
-	// callerPause is the mean time between two requests of a caller, poorPause that
-	// of the callers of the limited organisation, who ask for twice its rate.
-	callerPause = 15 * time.Millisecond
-	poorPause   = 50 * time.Millisecond
-	poorCallers = 2
+	clientMargin   = 3 * time.Second
+	// callerInterval is the mean time between two requests of a caller. poorInterval is
+	// that of the callers of the rate-limited organisation, which together send at
+	// twice its rate.
+	callerInterval = 15 * time.Millisecond
+	poorInterval   = 50 * time.Millisecond
+	poorCallers    = 2
 )
 
-// callers send requests until they are closed. Each keeps its connections open for
-// many requests, until the node is gone.
+// callers send requests until they are closed. Each of them reuses its connections for
+// many requests.
 type callers struct {
 	done chan struct{}
 	wait sync.WaitGroup
 }
 
-func startCallers(f *nodes, l *ledger, count int, seed uint64) *callers {
+func startCallers(f *soakFleet, l *ledger, count int, seed uint64) *callers {
 	c := &callers{done: make(chan struct{})}
 	for i := range count + poorCallers {
-		organisation, pause := "farm", callerPause
+		organisation, interval := "farm", callerInterval
 		if i >= count {
-			organisation, pause = "poor", poorPause
+			organisation, interval = "poor", poorInterval
 		}
 		source := rand.New(rand.NewPCG(seed, uint64(i)))
-		c.wait.Go(func() { c.run(f, l, organisation, i, pause, source) })
+		c.wait.Go(func() { c.run(f, l, organisation, i, interval, source) })
 	}
 	return c
 }
@@ -50,38 +51,39 @@
 	c.wait.Wait()
 }
 
-func (c *callers) run(f *nodes, l *ledger, organisation string, number int, pause time.Duration, source *rand.Rand) {
+func (c *callers) run(f *soakFleet, l *ledger, organisation string, number int, interval time.Duration, source *rand.Rand) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2}
 	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport, Timeout: callerDeadline + callerSlack}
+	client := &http.Client{Transport: transport, Timeout: callerDeadline + clientMargin}
 	for i := 0; ; i++ {
 		select {
-		case <-time.After(time.Duration(source.ExpFloat64() * float64(pause))):
+		case <-time.After(time.Duration(source.ExpFloat64() * float64(interval))):
 		case <-c.done:
 			return
 		}
-		kind := "urea"
+		route := "urea"
 		if organisation == "farm" && source.IntN(2) == 0 {
-			kind = "order"
+			route = "order"
 		}
-		id := fmt.Sprintf("%s-%s-%d-%d", organisation, kind, number, i)
-		ask(client, f.all[source.IntN(len(f.all))], l, id)
+		id := fmt.Sprintf("%s-%s-%d-%d", organisation, route, number, i)
+		sendRequest(client, f.nodes[source.IntN(len(f.nodes))], l, id)
 	}
 }
 
-// ask sends one request and notes what the caller is told.
-func ask(client *http.Client, n *node, l *ledger, id string) {
+// sendRequest sends one request and records its outcome.
+func sendRequest(client *http.Client, n *node, l *ledger, id string) {
 	organisation, _, _ := strings.Cut(id, "-")
-	t := told{order: kindOf(id) == "order", node: n.Number(), sent: l.now()}
-	defer func() { l.tell(id, t) }()
+	t := outcome{order: routeOf(id) == "order", node: n.Number(), sent: l.now()}
+	defer func() { l.recordOutcome(id, t) }()
 	method, body := http.MethodGet, io.Reader(nil)
 	if t.order {
-		// A reader of no known kind keeps the library from sending the order twice.
+		// A body of a type that net/http doesn't recognise cannot be rewound, so the
+		// client never sends the order a second time.
 		method, body = http.MethodPost, io.MultiReader(strings.NewReader("order "+id))
 	}
-	request, err := http.NewRequest(method, "http://"+n.Ports().Callers+"/"+kindOf(id)+"/"+id, body)
+	request, err := http.NewRequest(method, "http://"+n.Ports().Callers+"/"+routeOf(id)+"/"+id, body)
 	if err != nil {
-		t.refused = true
+		t.notConnected = true
 		return
 	}
 	request.Host = host
@@ -90,15 +92,15 @@
 	request.Header.Set("Authorization", "Bearer key-of-"+organisation)
 	response, err := client.Do(request)
 	if err != nil {
-		var failed *net.OpError
-		t.refused = errors.As(err, &failed) && failed.Op == "dial"
+		var opError *net.OpError
+		t.notConnected = errors.As(err, &opError) && opError.Op == "dial"
 		return
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return // the answer broke off, and does not look whole
+		return // the response was truncated; complete stays false
 	}
 	t.status = response.StatusCode
-	t.whole = string(text) == "answer to "+id && response.Header.Get(fields.Stamp) != ""
+	t.complete = string(text) == "answer to "+id && response.Header.Get(fields.Stamp) != ""
 }
--- a/cmd/soak/doc.go
+++ b/cmd/soak/doc.go
@@ -1,7 +1,9 @@
 // Package soak runs the real node program as separate processes on this machine,
-// beside stand-ins of the hosting platform, and injects faults from outside them:
-// signals, and proxies before the store and the backend servers. Meanwhile callers
-// send requests, and afterwards what they were told is compared with what backend
-// servers saw. What happens and when follows from a seed; how processes interleave
-// does not.
+// together with stand-ins for the hosting platform, and injects faults from outside the
+// processes: signals, and proxies in front of the store and the backend servers.
+// Callers send requests meanwhile. Afterwards the outcomes that callers saw are
+// compared with the requests that backend servers ran.
+//
+// A seed determines which faults are injected and when. The interleaving of the
+// processes is not reproducible.
 package soak
--- a/cmd/soak/ledger.go
+++ b/cmd/soak/ledger.go
@@ -9,116 +9,119 @@
 	"time"
 )
 
-// ledger holds what callers were told and what backend servers saw. It is safe for
-// concurrent use.
+// ledger records the outcomes that callers saw and the requests that backend servers
+// ran. It is safe for concurrent use.
 type ledger struct {
 	began time.Time
 
-	mu    sync.Mutex
-	told  map[string]told
-	runs  map[string]int
-	poor  []time.Duration
-	wrong []string
+	mu       sync.Mutex
+	outcomes map[string]outcome
+	runs     map[string]int
+	poorRuns []time.Duration
+	findings []string
 }
 
-// told is what a caller was told about one request.
-type told struct {
+// outcome is the result of one request as its caller saw it.
+type outcome struct {
 	order bool
-	// status is zero where the connection ended without an answer; refused is set
-	// where it was never made.
-	status  int
-	refused bool
-	whole   bool
-	node    int
-	// sent is the time since the ledger began.
+	// status is the response's status code, or zero if there was no complete response.
+	// notConnected is set if the connection could not be established.
+	status       int
+	notConnected bool
+	complete     bool
+	node         int
+	// sent is when the request was sent, as the time since the ledger was created.
 	sent time.Duration
 }
 
 func newLedger() *ledger {
-	return &ledger{began: time.Now(), told: make(map[string]told), runs: make(map[string]int)}
+	return &ledger{began: time.Now(), outcomes: make(map[string]outcome), runs: make(map[string]int)}
 }
 
 func (l *ledger) now() time.Duration { return time.Since(l.began) }
 
-// ran takes in a run at a backend server.
-func (l *ledger) ran(r *http.Request) {
+// recordRun records a request that a backend server runs. It adds a finding if the
+// request still carries its API key, or has the wrong organisation or path.
+func (l *ledger) recordRun(r *http.Request) {
 	id := r.Header.Get(fields.Request)
 	organisation, _, _ := strings.Cut(id, "-")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
 	if organisation == "poor" {
-		l.poor = append(l.poor, l.now())
+		l.poorRuns = append(l.poorRuns, l.now())
 	}
 	if r.Header.Get("Authorization") != "" {
-		l.note("request %s reached a backend server with its key", id)
+		l.addFinding("request %s reached a backend server with its key", id)
 	}
 	if got := r.Header.Get(fields.Organisation); got != organisation {
-		l.note("request %s ran for organisation %q", id, got)
+		l.addFinding("request %s ran for organisation %q", id, got)
 	}
-	if want := "/" + kindOf(id) + "/" + id; r.URL.Path != want {
-		l.note("request %s ran with path %s, want %s", id, r.URL.Path, want)
+	if want := "/" + routeOf(id) + "/" + id; r.URL.Path != want {
+		l.addFinding("request %s ran with path %s, want %s", id, r.URL.Path, want)
 	}
 }
 
-// kindOf returns the route of a request by its name.
-func kindOf(id string) string {
+// routeOf returns the route that a request's id names.
+func routeOf(id string) string {
 	if strings.Contains(id, "-order-") {
 		return "order"
 	}
 	return "urea"
 }
 
-// note is called with the lock held.
-func (l *ledger) note(format string, args ...any) {
-	l.wrong = append(l.wrong, fmt.Sprintf(format, args...))
+// addFinding must be called with the lock held.
+func (l *ledger) addFinding(format string, args ...any) {
+	l.findings = append(l.findings, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) tell(id string, t told) {
+func (l *ledger) recordOutcome(id string, t outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told[id] = t
+	l.outcomes[id] = t
 }
 
-// window is a time in which one node was stopped and nothing else was wrong.
-type window struct {
+// stopWindow is a period in which one node was stopped as planned and no fault was
+// active.
+type stopWindow struct {
 	node     int
 	from, to time.Duration
 }
 
-// check compares both sides and returns what breaks a promise.
-func (l *ledger) check(planned []window) []string {
+// check compares the outcomes with the runs and returns a finding for each violated
+// guarantee.
+func (l *ledger) check(stops []stopWindow) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, t := range l.told {
-		l.checkOne(id, t, planned)
+	for id, t := range l.outcomes {
+		l.checkRequest(id, t, stops)
 	}
 	l.checkRate()
-	slices.Sort(l.wrong)
-	return l.wrong
+	slices.Sort(l.findings)
+	return l.findings
 }
 
-func (l *ledger) checkOne(id string, t told, planned []window) {
+func (l *ledger) checkRequest(id string, t outcome, stops []stopWindow) {
 	runs := l.runs[id]
 	switch {
 	case t.order && runs > 1:
-		l.note("order %s ran %d times", id, runs)
-	case t.order && promisesNotRun(t.status) && runs > 0:
-		l.note("order %s was answered %d and has run", id, t.status)
+		l.addFinding("order %s ran %d times", id, runs)
+	case t.order && meansNotRun(t.status) && runs > 0:
+		l.addFinding("order %s was answered %d and has run", id, t.status)
 	}
 	switch {
 	case t.status >= http.StatusOK && t.status < http.StatusMultipleChoices:
-		if !t.whole || runs == 0 {
-			l.note("request %s was answered %d, whole: %t, runs: %d", id, t.status, t.whole, runs)
+		if !t.complete || runs == 0 {
+			l.addFinding("request %s was answered %d, whole: %t, runs: %d", id, t.status, t.complete, runs)
 		}
-	case t.status >= http.StatusBadRequest && t.status < http.StatusInternalServerError && !promisesNotRun(t.status):
-		l.note("request %s, which is allowed, was answered %d", id, t.status)
-	case t.status == 0 && !t.refused && runs > 0 && cutByStop(t, planned):
-		l.note("request %s to node %d was cut off by a planned stop (sent at %v)", id, t.node, t.sent.Round(time.Millisecond))
+	case t.status >= http.StatusBadRequest && t.status < http.StatusInternalServerError && !meansNotRun(t.status):
+		l.addFinding("request %s, which is allowed, was answered %d", id, t.status)
+	case t.status == 0 && !t.notConnected && runs > 0 && sentDuringStop(t, stops):
+		l.addFinding("request %s to node %d was cut off by a planned stop (sent at %v)", id, t.node, t.sent.Round(time.Millisecond))
 	}
 }
 
-func promisesNotRun(status int) bool {
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -127,14 +130,15 @@
 	}
 }
 
-func cutByStop(t told, planned []window) bool {
-	return slices.ContainsFunc(planned, func(w window) bool {
+func sentDuringStop(t outcome, stops []stopWindow) bool {
+	return slices.ContainsFunc(stops, func(w stopWindow) bool {
 		return w.node == t.node && t.sent >= w.from && t.sent <= w.to
 	})
 }
 
-// The bound on what an organisation may run in any rateWindow: its rate and burst,
-// a tenth more, and rateSlack for what the stand-ins see late.
+// An organisation may run at most its rate and burst in any rateWindow. rateMargin
+// allows a tenth more, and rateSlack a number of requests that reach the stand-ins
+// late.
 const (
 	rateWindow = 5 * time.Second
 	rateMargin = 1.1
@@ -142,25 +146,26 @@
 )
 
 func (l *ledger) checkRate() {
-	most := int((poorRate*rateWindow.Seconds()+poorBurst)*rateMargin) + rateSlack
+	limit := int((poorRate*rateWindow.Seconds()+poorBurst)*rateMargin) + rateSlack
 	from := 0
-	for i, at := range l.poor {
-		for at-l.poor[from] > rateWindow {
+	for i, at := range l.poorRuns {
+		for at-l.poorRuns[from] > rateWindow {
 			from++
 		}
-		if i-from+1 > most {
-			l.note("%d requests of the limited organisation ran in the %v up to %v, want at most %d", i-from+1, rateWindow, at, most)
+		if i-from+1 > limit {
+			l.addFinding("%d requests of the limited organisation ran in the %v up to %v, want at most %d", i-from+1, rateWindow, at, limit)
 			return
 		}
 	}
 }
 
-// counts returns how many requests ended with each status since a time.
-func (l *ledger) counts(since time.Duration) (served, all int, byStatus map[int]int) {
+// statusCounts counts the requests sent at or after since: those that were served, all,
+// and all by status. It leaves out the rate-limited organisation.
+func (l *ledger) statusCounts(since time.Duration) (served, all int, byStatus map[int]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	byStatus = make(map[int]int)
-	for id, t := range l.told {
+	for id, t := range l.outcomes {
 		if t.sent < since || strings.HasPrefix(id, "poor") {
 			continue
 		}
@@ -176,5 +181,5 @@
 func (l *ledger) served(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.told[id].status == http.StatusOK
+	return l.outcomes[id].status == http.StatusOK
 }
--- a/cmd/soak/ledger_test.go
+++ b/cmd/soak/ledger_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A check that never fires lets every run pass. Each promise is broken once here,
-// and each must be found.
-func TestLedgerFindsEachBrokenPromise(t *testing.T) {
+// If a check never reported anything, every soak run would pass. Each guarantee is
+// violated once here, and the ledger must report each violation.
+func TestLedgerFindsEachViolation(t *testing.T) {
 	run := func(id, path, organisation, key string) func(*ledger) {
 		return func(l *ledger) {
 			r := httptest.NewRequest(http.MethodGet, path, nil)
@@ -19,11 +19,11 @@
 			if key != "" {
 				r.Header.Set("Authorization", "Bearer "+key)
 			}
-			l.ran(r)
+			l.recordRun(r)
 		}
 	}
-	tell := func(id string, answer told) func(*ledger) {
-		return func(l *ledger) { l.tell(id, answer) }
+	record := func(id string, result outcome) func(*ledger) {
+		return func(l *ledger) { l.recordOutcome(id, result) }
 	}
 	const order, quote = "farm-order-1-1", "farm-urea-1-1"
 	orderRuns := run(order, "/order/"+order, "farm", "")
@@ -37,13 +37,13 @@
 		name, want string
 		steps      []func(*ledger)
 	}{
-		{"all kept", "", []func(*ledger){orderRuns, tell(order, told{order: true, status: 200, whole: true}), quoteRuns, quoteRuns, tell(quote, told{status: 502})}},
-		{"order runs twice", "ran 2 times", []func(*ledger){orderRuns, orderRuns, tell(order, told{order: true, status: 502})}},
-		{"refused order has run", "answered 503 and has run", []func(*ledger){orderRuns, tell(order, told{order: true, status: 503})}},
-		{"answer not whole", "whole: false", []func(*ledger){quoteRuns, tell(quote, told{status: 200})}},
-		{"answer without a run", "runs: 0", []func(*ledger){tell(quote, told{status: 200, whole: true})}},
-		{"allowed request denied", "was answered 404", []func(*ledger){tell(quote, told{status: 404})}},
-		{"cut off by a planned stop", "cut off", []func(*ledger){quoteRuns, tell(quote, told{node: 2, sent: 3 * time.Second})}},
+		{"no violation", "", []func(*ledger){orderRuns, record(order, outcome{order: true, status: 200, complete: true}), quoteRuns, quoteRuns, record(quote, outcome{status: 502})}},
+		{"order runs twice", "ran 2 times", []func(*ledger){orderRuns, orderRuns, record(order, outcome{order: true, status: 502})}},
+		{"refused order has run", "answered 503 and has run", []func(*ledger){orderRuns, record(order, outcome{order: true, status: 503})}},
+		{"incomplete response", "whole: false", []func(*ledger){quoteRuns, record(quote, outcome{status: 200})}},
+		{"response without a run", "runs: 0", []func(*ledger){record(quote, outcome{status: 200, complete: true})}},
+		{"allowed request denied", "was answered 404", []func(*ledger){record(quote, outcome{status: 404})}},
+		{"cut off by a planned stop", "cut off", []func(*ledger){quoteRuns, record(quote, outcome{node: 2, sent: 3 * time.Second})}},
 		{"key passed on", "with its key", []func(*ledger){run(quote, "/urea/"+quote, "farm", "farm-key")}},
 		{"other organisation", `organisation "poor"`, []func(*ledger){run(quote, "/urea/"+quote, "poor", "")}},
 		{"path changed", "ran with path", []func(*ledger){run(quote, "/urea/other", "farm", "")}},
@@ -53,7 +53,7 @@
 		for _, step := range test.steps {
 			step(l)
 		}
-		findings := strings.Join(l.check([]window{{node: 2, from: 2 * time.Second, to: 4 * time.Second}}), "; ")
+		findings := strings.Join(l.check([]stopWindow{{node: 2, from: 2 * time.Second, to: 4 * time.Second}}), "; ")
 		if (findings == "") != (test.want == "") || !strings.Contains(findings, test.want) {
 			t.Errorf("%s: got %q, want %q", test.name, findings, test.want)
 		}
--- a/cmd/soak/proxy.go
+++ b/cmd/soak/proxy.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Harm is what a proxy does to its connections.
-type Harm string
+// ConnectionFault is a fault that a proxy injects into its connections.
+type ConnectionFault string
 
-// The harms.
+// The connection faults. Their values appear in the run's report.
 const (
-	// HarmNone passes everything on.
-	HarmNone Harm = "none"
-	// HarmDelay passes everything on proxyDelay later.
-	HarmDelay Harm = "delay"
-	// HarmSilence passes nothing on and closes nothing.
-	HarmSilence Harm = "silence"
-	// HarmOneWay passes on what is sent and none of what comes back.
-	HarmOneWay Harm = "one_way"
-	// HarmReset resets every connection, at once and as it is made.
-	HarmReset Harm = "reset"
+	// FaultNone forwards all bytes.
+	FaultNone ConnectionFault = "none"
+	// FaultDelay forwards all bytes with a delay of proxyDelay.
+	FaultDelay ConnectionFault = "delay"
+	// FaultSilence forwards no bytes and keeps connections open.
+	FaultSilence ConnectionFault = "silence"
+	// FaultOneWay forwards bytes from the client to the server only.
+	FaultOneWay ConnectionFault = "one_way"
+	// FaultReset resets all open connections, and new ones as they are accepted.
+	FaultReset ConnectionFault = "reset"
 )
 
-// proxyDelay is well above what a failure domain's own links take.
+// proxyDelay is well above the latency of links within a failure domain.
 const proxyDelay = 40 * time.Millisecond
 
-// proxy stands on loopback before a server. Create it with newProxy.
+// proxy is a TCP proxy in front of a server, on the loopback interface. Create it with
+// newProxy.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -35,7 +36,7 @@
 	wait     sync.WaitGroup
 
 	mu    sync.Mutex
-	harm  Harm
+	fault ConnectionFault
 	conns map[net.Conn]struct{}
 }
 
@@ -44,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, done: make(chan struct{}), harm: HarmNone, conns: make(map[net.Conn]struct{})}
+	p := &proxy{listener: listener, target: target, done: make(chan struct{}), fault: FaultNone, conns: make(map[net.Conn]struct{})}
 	p.wait.Go(p.accept)
 	return p, nil
 }
@@ -54,109 +55,111 @@
 func (p *proxy) close() {
 	close(p.done)
 	p.listener.Close()
-	p.reset()
+	p.resetAll()
 	p.wait.Wait()
 }
 
-// set changes the harm, for connections that stand as well.
-func (p *proxy) set(h Harm) {
+// setFault changes the fault, also for open connections.
+func (p *proxy) setFault(fault ConnectionFault) {
 	p.mu.Lock()
-	p.harm = h
+	p.fault = fault
 	p.mu.Unlock()
-	if h == HarmReset {
-		p.reset()
+	if fault == FaultReset {
+		p.resetAll()
 	}
 }
 
-func (p *proxy) reset() {
+func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a connection that has ended needs no reset
+			_ = t.SetLinger(0) // fails if the connection has ended already
 		}
 		c.Close()
 	}
 }
 
-func (p *proxy) current() Harm {
+func (p *proxy) currentFault() ConnectionFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm
+	return p.fault
 }
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return // the proxy is closed
 		}
-		p.wait.Go(func() { p.serve(near) })
+		p.wait.Go(func() { p.serve(client) })
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
-	defer p.drop(near)
-	p.keep(near)
-	if p.current() == HarmReset {
-		p.reset()
+func (p *proxy) serve(client net.Conn) {
+	defer p.release(client)
+	p.track(client)
+	if p.currentFault() == FaultReset {
+		p.resetAll()
 		return
 	}
-	far, err := net.Dial("tcp", p.target)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		return // nothing listens there; the caller sees its connection end
+		return // no server listens at the target; the client's connection is closed
 	}
-	defer p.drop(far)
-	p.keep(far)
+	defer p.release(server)
+	p.track(server)
 	p.wait.Go(func() {
-		defer near.Close()
-		p.copy(near, far, HarmOneWay)
+		defer client.Close()
+		p.forward(client, server, FaultOneWay)
 	})
-	p.copy(far, near, HarmNone)
+	p.forward(server, client, FaultNone)
 }
 
-func (p *proxy) keep(c net.Conn) {
+func (p *proxy) track(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 }
 
-func (p *proxy) drop(c net.Conn) {
+func (p *proxy) release(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// copy passes bytes on until either side ends. but is a harm that stops this
-// direction, besides silence.
-func (p *proxy) copy(to, from net.Conn, but Harm) {
+// forward copies bytes until either side closes its connection. FaultSilence and
+// directionFault stop the copying; FaultNone as directionFault means that no other
+// fault does.
+func (p *proxy) forward(to, from net.Conn, directionFault ConnectionFault) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if !p.passes(but) {
+		if !p.waitToForward(directionFault) {
 			return
 		}
 		if n > 0 {
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				return
 			}
 		}
 		if err != nil {
 			if half, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // net returns the plain error
-				_ = half.CloseWrite() // the other side may have gone
+				_ = half.CloseWrite() // the peer may have closed the connection already
 			}
 			return
 		}
 	}
 }
 
-// passes waits while the harm holds bytes back and reports whether they go on.
-func (p *proxy) passes(but Harm) bool {
-	if p.current() == HarmDelay {
+// waitToForward waits while the current fault stops this direction, and adds proxyDelay
+// under FaultDelay. It returns false if the proxy was closed meanwhile.
+func (p *proxy) waitToForward(directionFault ConnectionFault) bool {
+	if p.currentFault() == FaultDelay {
 		time.Sleep(proxyDelay)
 	}
-	for h := p.current(); h == HarmSilence || but != HarmNone && h == but; h = p.current() {
+	for fault := p.currentFault(); fault == FaultSilence || directionFault != FaultNone && fault == directionFault; fault = p.currentFault() {
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-p.done:
--- a/cmd/soak/soak.go
+++ b/cmd/soak/soak.go
@@ -13,60 +13,66 @@
 
 // Options are the settings of a run. Program and Directory must be set.
 type Options struct {
-	// Program is the node's executable, Directory where settings and logs go.
+	// Program is the path of the node's executable. Directory is where settings and
+	// logs are written.
 	Program, Directory string
-	// Seed decides which faults come when.
+	// Seed determines which faults are injected and when.
 	Seed uint64
-	// Nodes is how many node processes there are; zero means 4.
+	// Nodes is the number of node processes; zero means 4.
 	Nodes int
-	// Callers is how many callers send requests; zero means 12.
+	// Callers is the number of callers that send requests; zero means 12.
 	Callers int
-	// Duration is how long faults come; zero means 15 s.
+	// Duration is how long faults are injected; zero means 15 s.
 	Duration time.Duration
 }
 
-// Report is what a run gave.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Planned is set if the run had planned work only, which may cut off nobody.
-	Planned bool
-	// Faults counts the faults by what they were.
+	// PlannedOnly is set if the run had only planned stops and configuration changes,
+	// which may not abort any request.
+	PlannedOnly bool
+	// Faults counts the injected faults by name.
 	Faults map[string]int
-	// Requests counts callers' requests in all, CalmRequests those after the
-	// faults and CalmServed how many of these were served.
-	Requests, CalmRequests, CalmServed int
-	// Findings are the promises that were broken.
+	// Requests is the number of requests, without those of the rate-limited
+	// organisation. RequestsAfterFaults counts those that were sent once all nodes had
+	// recovered from the last fault, and ServedAfterFaults how many of these were
+	// served.
+	Requests, RequestsAfterFaults, ServedAfterFaults int
+	// Findings describe the guarantees that were violated.
 	Findings []string
 }
 
 const (
-	// startWait bounds the start of the fleet and the wait for its recovery.
-	startWait = 20 * time.Second
-	// calm is how long requests are counted after the recovery, and calmShare the
-	// part of them that must be served.
-	calm      = 2 * time.Second
-	calmShare = 0.95
-	// settle is how long after the last request what has begun may still run.
-	settle = callerDeadline + 500*time.Millisecond
+	// readyTimeout bounds both the start of the fleet and its recovery from the last
+	// fault.
+	readyTimeout = 20 * time.Second
+	// recoveredWindow is how long requests are counted after the recovery.
+	// minServedShare is the fraction of them that must be served.
+	recoveredWindow = 2 * time.Second
+	minServedShare  = 0.95
+	// drainTime is the wait after the last request, during which requests that have
+	// started may still run.
+	drainTime = callerDeadline + 500*time.Millisecond
 )
 
-// run is a soak under way.
+// run is a soak run in progress.
 type run struct {
 	options Options
 	source  *rand.Rand
-	fleet   *nodes
+	fleet   *soakFleet
 	ledger  *ledger
 	wait    sync.WaitGroup
 
-	mu       sync.Mutex
-	faults   map[string]int
-	planned  []window
-	findings []string
-	version  int
+	mu           sync.Mutex
+	faults       map[string]int
+	plannedStops []stopWindow
+	findings     []string
+	version      int
 }
 
-// Run plays one seed and returns what it found. The error says that the run could
-// not be played.
+// Run executes the run of one seed. It returns an error if the run could not take
+// place; violated guarantees are in the report's Findings.
 func Run(options Options) (Report, error) {
 	if options.Nodes == 0 {
 		options.Nodes = 4
@@ -78,125 +84,126 @@
 		options.Duration = 15 * time.Second
 	}
 	r := &run{options: options, source: rand.New(rand.NewPCG(options.Seed, 1)), ledger: newLedger(), faults: make(map[string]int), version: 3}
-	all, err := newNodes(options.Program, options.Directory, options.Nodes, r.ledger.ran)
+	fleet, err := newSoakFleet(options.Program, options.Directory, options.Nodes, r.ledger.recordRun)
 	if err != nil {
 		return Report{}, fmt.Errorf("soak: start the fleet: %w", err)
 	}
-	defer all.close()
-	r.fleet = all
+	defer fleet.close()
+	r.fleet = fleet
 	if !r.awaitReady() {
 		return Report{}, errors.New("soak: the nodes were not ready in time: see their logs in the run's directory")
 	}
-	return r.play(), nil
+	return r.execute(), nil
 }
 
-func (r *run) play() Report {
+func (r *run) execute() Report {
 	callers := startCallers(r.fleet, r.ledger, r.options.Callers, r.options.Seed)
-	planned := r.options.Seed%4 == 0
+	plannedOnly := r.options.Seed%4 == 0
 	for end := r.ledger.now() + r.options.Duration; r.ledger.now() < end; {
 		time.Sleep(200*time.Millisecond + time.Duration(r.source.Int64N(int64(700*time.Millisecond))))
-		if planned {
-			r.planOne()
+		if plannedOnly {
+			r.runPlannedAction()
 			continue
 		}
-		r.harmOne()
+		r.injectFault()
 	}
 	r.wait.Wait()
 	if !r.awaitReady() {
-		r.find("not all nodes were ready %v after the last fault", startWait)
+		r.addFinding("not all nodes were ready %v after the last fault", readyTimeout)
 	}
 	since := r.ledger.now()
-	time.Sleep(calm)
+	time.Sleep(recoveredWindow)
 	callers.close()
-	time.Sleep(settle)
-	served, all, byStatus := r.ledger.counts(since)
-	if float64(served) < calmShare*float64(all) {
-		r.find("%d of %d requests served after the faults: %v", served, all, byStatus)
+	time.Sleep(drainTime)
+	served, total, byStatus := r.ledger.statusCounts(since)
+	if float64(served) < minServedShare*float64(total) {
+		r.addFinding("%d of %d requests served after the faults: %v", served, total, byStatus)
 	}
-	_, requests, _ := r.ledger.counts(0)
+	_, requests, _ := r.ledger.statusCounts(0)
 	return Report{
-		Seed: r.options.Seed, Planned: planned, Faults: r.faults, Requests: requests, CalmRequests: all, CalmServed: served,
-		Findings: append(r.ledger.check(r.planned), r.findings...),
+		Seed: r.options.Seed, PlannedOnly: plannedOnly, Faults: r.faults, Requests: requests, RequestsAfterFaults: total, ServedAfterFaults: served,
+		Findings: append(r.ledger.check(r.plannedStops), r.findings...),
 	}
 }
 
-// awaitReady waits until every node is ready and a request through each is served.
+// awaitReady waits until every node is ready and serves a request. It returns false if
+// that takes longer than readyTimeout.
 func (r *run) awaitReady() bool {
 	client := &http.Client{Timeout: time.Second}
-	for deadline := time.Now().Add(startWait); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-		if !slices.ContainsFunc(r.fleet.all, func(n *node) bool { return !r.serves(client, n) }) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		if !slices.ContainsFunc(r.fleet.nodes, func(n *node) bool { return !r.serves(client, n) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// serves reports whether a node is ready and a request through it is served.
+// serves reports whether a node is ready and serves a request.
 func (r *run) serves(client *http.Client, n *node) bool {
 	if !n.Ready() {
 		return false
 	}
 	id := fmt.Sprintf("farm-urea-first%d-%d", n.Number(), time.Now().UnixNano())
-	ask(client, n, r.ledger, id)
+	sendRequest(client, n, r.ledger, id)
 	return r.ledger.served(id)
 }
 
-func (r *run) find(format string, args ...any) {
+func (r *run) addFinding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
-func (r *run) count(fault string) {
+func (r *run) countFault(fault string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults[fault]++
 }
 
-// between draws a time.
-func (r *run) between(from, to time.Duration) time.Duration {
+// randomDuration returns a random duration of at least from and less than to.
+func (r *run) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(r.source.Int64N(int64(to-from)))
 }
 
-func (r *run) anyNode() *node { return r.fleet.all[r.source.IntN(len(r.fleet.all))] }
+func (r *run) anyNode() *node { return r.fleet.nodes[r.source.IntN(len(r.fleet.nodes))] }
 
-// planOne does one piece of planned work: stops come one after the other, each
-// with everything else in order.
-func (r *run) planOne() {
+// runPlannedAction changes the configuration or stops and restarts a node. It stops a
+// node only while all nodes are ready, so that planned stops never overlap.
+func (r *run) runPlannedAction() {
 	if r.source.IntN(3) == 0 {
-		r.configure()
+		r.changeConfiguration()
 		return
 	}
 	n := r.anyNode()
 	if !r.awaitReady() {
-		r.find("not all nodes were ready before a planned stop")
+		r.addFinding("not all nodes were ready before a planned stop")
 		return
 	}
 	from := r.ledger.now()
-	if !r.stop(n, grace+time.Second) {
-		r.find("node %d still ran %v after SIGTERM", n.Number(), grace+time.Second)
+	if !r.stopAndRestart(n, grace+time.Second) {
+		r.addFinding("node %d still ran %v after SIGTERM", n.Number(), grace+time.Second)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.planned = append(r.planned, window{node: n.Number(), from: from, to: r.ledger.now()})
+	r.plannedStops = append(r.plannedStops, stopWindow{node: n.Number(), from: from, to: r.ledger.now()})
 }
 
-func (r *run) configure() {
-	r.count("configuration")
+func (r *run) changeConfiguration() {
+	r.countFault("configuration")
 	r.version += 1 + r.source.IntN(3)
 	if err := r.fleet.configure(r.version); err != nil {
-		r.find("%v", err)
+		r.addFinding("%v", err)
 	}
 }
 
-// stop ends a node by SIGTERM and starts it anew. It reports whether the node ended
-// by itself within that time; one that did not is killed.
-func (r *run) stop(n *node, within time.Duration) bool {
+// stopAndRestart stops a node by SIGTERM and starts it again. It reports whether the
+// node exited within the given time, or did not run; otherwise it kills the node.
+func (r *run) stopAndRestart(n *node, within time.Duration) bool {
 	ended := n.Signal(syscall.SIGTERM)
 	if ended == nil {
 		return true
 	}
-	r.count("term")
+	r.countFault("term")
 	inTime := true
 	select {
 	case <-ended:
@@ -211,55 +218,57 @@
 
 func (r *run) restart(n *node) {
 	if err := n.Start(); err != nil {
-		r.find("node %d did not start: %v", n.Number(), err)
+		r.addFinding("node %d did not start: %v", n.Number(), err)
 	}
 }
 
-// harmOne begins one fault, which ends by itself while others come.
-func (r *run) harmOne() {
+// injectFault injects one fault, which is removed after a random duration. Faults may
+// overlap.
+func (r *run) injectFault() {
 	n := r.anyNode()
-	away := r.between(100*time.Millisecond, 2500*time.Millisecond)
-	later := func(f func()) {
+	duration := r.randomDuration(100*time.Millisecond, 2500*time.Millisecond)
+	afterDuration := func(f func()) {
 		r.wait.Go(func() {
-			time.Sleep(away)
+			time.Sleep(duration)
 			f()
 		})
 	}
-	harms := []Harm{HarmDelay, HarmSilence, HarmOneWay, HarmReset}
-	harm := harms[r.source.IntN(len(harms))]
+	faults := []ConnectionFault{FaultDelay, FaultSilence, FaultOneWay, FaultReset}
+	fault := faults[r.source.IntN(len(faults))]
 	switch r.source.IntN(9) {
 	case 0, 1:
 		if ended := n.Signal(syscall.SIGKILL); ended != nil {
-			r.count("kill")
-			later(func() {
+			r.countFault("kill")
+			afterDuration(func() {
 				<-ended
 				r.restart(n)
 			})
 		}
 	case 2:
 		if n.Signal(syscall.SIGSTOP) != nil {
-			r.count("pause")
-			later(func() { n.Signal(syscall.SIGCONT) })
+			r.countFault("pause")
+			afterDuration(func() { n.Signal(syscall.SIGCONT) })
 		}
 	case 3:
-		// It may be paused meanwhile, so only that it comes back is asked.
-		r.wait.Go(func() { r.stop(n, 2*grace) })
+		// Another fault may pause the node meanwhile, so an exit within the grace
+		// period is not required; the node only has to be restarted.
+		r.wait.Go(func() { r.stopAndRestart(n, 2*grace) })
 	case 4, 5:
-		r.count("backend server: " + string(harm))
-		n.toBackend.set(harm)
-		later(func() { n.toBackend.set(HarmNone) })
+		r.countFault("backend server: " + string(fault))
+		n.backendProxy.setFault(fault)
+		afterDuration(func() { n.backendProxy.setFault(FaultNone) })
 	case 6:
-		r.count("store of one node: " + string(harm))
-		n.toStore.set(harm)
-		later(func() { n.toStore.set(HarmNone) })
+		r.countFault("store of one node: " + string(fault))
+		n.storeProxy.setFault(fault)
+		afterDuration(func() { n.storeProxy.setFault(FaultNone) })
 	case 7:
-		r.count("store away")
+		r.countFault("store away")
 		r.fleet.store.Fail(http.StatusServiceUnavailable)
-		later(func() { r.fleet.store.Fail(0) })
+		afterDuration(func() { r.fleet.store.Fail(0) })
 	default:
-		r.configure()
+		r.changeConfiguration()
 		if r.source.IntN(3) == 0 {
-			r.count("store forgets its history")
+			r.countFault("store forgets its history")
 			r.fleet.store.Forget()
 		}
 	}
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// regressions are seeds that have failed once, with what it was.
+// regressions are seeds of runs that have failed before, each with the failure as a
+// comment.
 var regressions = []uint64{}
 
-// build builds the node.
-func build(t *testing.T) string {
+func buildNode(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "coltsfootward")
 	if output, err := exec.Command("go", "build", "-o", program, "coltsfootward/cmd/coltsfootward").CombinedOutput(); err != nil {
@@ -21,31 +21,31 @@
 	return program
 }
 
-// Processes are killed, paused, stopped and restarted, connections delayed, cut one
-// way, silenced and reset, and the store is away, all of it overlapping, while
-// callers place orders. No order runs twice, no refusal lies, every answer is the
-// caller's own and whole, no organisation runs more than its rate, and planned
-// stops cut off nobody.
-func TestPromisesUnderFaults(t *testing.T) {
-	program := build(t)
+// Guards the guarantees under overlapping faults: processes are killed, paused, stopped
+// and restarted, connections are delayed, blocked in one direction, silenced and reset,
+// and the store is unavailable, while callers place orders. No order may run twice, no
+// refused request may have run, every response must be complete and the caller's own,
+// no organisation may exceed its rate, and planned stops may abort no request.
+func TestGuaranteesUnderFaults(t *testing.T) {
+	program := buildNode(t)
 	for _, seed := range append([]uint64{1, 4}, regressions...) {
 		directory := t.TempDir()
 		report, err := Run(Options{Program: program, Directory: directory, Seed: seed, Duration: 6 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %d requests, %d of %d served after the faults, faults %v", seed, report.Requests, report.CalmServed, report.CalmRequests, report.Faults)
+		t.Logf("seed %d: %d requests, %d of %d served after the faults, faults %v", seed, report.Requests, report.ServedAfterFaults, report.RequestsAfterFaults, report.Faults)
 		for _, finding := range report.Findings {
 			t.Errorf("seed %d: %s", seed, finding)
 		}
 		if t.Failed() {
-			logs(t, directory)
+			showLogs(t, directory)
 		}
 	}
 }
 
-// logs shows the end of each node's log.
-func logs(t *testing.T, directory string) {
+// showLogs logs the last 4000 bytes of each node's log.
+func showLogs(t *testing.T, directory string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.log"))
 	if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin plays the platform and backend servers in tests and examples.
+// Command standin runs stand-ins for the platform and for backend servers, for tests
+// and examples.
 package main
 
 import (
@@ -29,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	announce(listener)
+	printAddress(listener)
 	server := &http.Server{Handler: platform.New().Handler(), ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = server.Serve(listener) }()
 	waitForStop()
@@ -37,19 +38,19 @@
 }
 
 type backendCommand struct {
-	Listen      string        `long:"listen" default:"127.0.0.1:0" description:"IP number and port"`
-	Node        string        `long:"node" required:"yes" description:"the local node's address for backend servers"`
-	Service     string        `long:"service" required:"yes" description:"the service it announces"`
-	Slots       int           `long:"slots" default:"10" description:"requests served at once"`
-	Connections int           `long:"connections" default:"100" description:"connections accepted"`
-	Time        time.Duration `long:"time" default:"10ms" description:"time a request takes"`
-	Jitter      time.Duration `long:"jitter" default:"0s" description:"largest random time added to it"`
-	ColdStart   time.Duration `long:"cold-start" default:"0s" description:"how long after the start requests take twice their time"`
-	Shed        bool          `long:"shed" description:"answer 503 at once while every slot is taken"`
-	ReportLag   time.Duration `long:"report-lag" default:"0s" description:"age of the load that it reports"`
-	ReportLie   float64       `long:"report-factor" default:"1" description:"factor by which it misstates its load"`
-	Forget      bool          `long:"forget" description:"keep no record of single runs, for measurements under load"`
-	Child       []string      `long:"child" description:"a path, /SERVICE/PATH, called while serving; may be repeated"`
+	Listen       string        `long:"listen" default:"127.0.0.1:0" description:"IP number and port"`
+	Node         string        `long:"node" required:"yes" description:"the local node's address for backend servers"`
+	Service      string        `long:"service" required:"yes" description:"the service it announces"`
+	Slots        int           `long:"slots" default:"10" description:"requests served at once"`
+	Connections  int           `long:"connections" default:"100" description:"connections accepted"`
+	Time         time.Duration `long:"time" default:"10ms" description:"time a request takes"`
+	Jitter       time.Duration `long:"jitter" default:"0s" description:"largest random time added to it"`
+	ColdStart    time.Duration `long:"cold-start" default:"0s" description:"how long after the start requests take twice their time"`
+	Shed         bool          `long:"shed" description:"answer 503 at once while every slot is taken"`
+	ReportLag    time.Duration `long:"report-lag" default:"0s" description:"age of the load that it reports"`
+	ReportFactor float64       `long:"report-factor" default:"1" description:"factor by which it misstates its load"`
+	Forget       bool          `long:"forget" description:"keep no record of single runs, for measurements under load"`
+	Child        []string      `long:"child" description:"a path, /SERVICE/PATH, called while serving; may be repeated"`
 }
 
 // Execute implements flags.Commander.
@@ -58,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	announce(listener)
+	printAddress(listener)
 	b := backend.New(listener, backend.Options{
 		Announcement: upstream.Announcement{
 			Service: coltsfootward.ServiceName(c.Service), Slots: c.Slots, Connections: c.Connections,
@@ -67,20 +68,20 @@
 		ServiceTime:  c.Time,
 		Jitter:       c.Jitter,
 		ColdStart:    c.ColdStart,
-		Children:     c.Child,
+		ChildPaths:   c.Child,
 		Shed:         c.Shed,
 		ReportLag:    c.ReportLag,
-		ReportFactor: c.ReportLie,
-		Forget:       c.Forget,
+		ReportFactor: c.ReportFactor,
+		DiscardRuns:  c.Forget,
 	})
 	waitForStop()
 	b.Close()
 	return nil
 }
 
-// announce prints where the program listens, since the machine may have chosen
-// the port.
-func announce(listener net.Listener) {
+// printAddress prints the address at which the program listens, since the kernel may
+// have chosen the port.
+func printAddress(listener net.Listener) {
 	fmt.Printf("listening on %s\n", listener.Addr())
 }
 
@@ -94,7 +95,7 @@
 	os.Exit(run(os.Args[1:]))
 }
 
-// run returns the exit code: 0 done, 1 failed, 2 wrong usage.
+// run returns the exit code: 0 for success, 1 for failure, 2 for wrong usage.
 func run(args []string) int {
 	parser := flags.NewNamedParser("standin", flags.HelpFlag|flags.PassDoubleDash)
 	if err := register(parser); err != nil {
--- a/standin/backend/announce.go
+++ b/standin/backend/announce.go
@@ -27,7 +27,7 @@
 func (b *Backend) announceOnce() {
 	a := b.options.Announcement
 	a.Address = b.Address()
-	a.Draining = b.current().Draining
+	a.Draining = b.currentBehaviour().Draining
 	data, err := json.Marshal(a)
 	if err != nil {
 		return
@@ -41,7 +41,7 @@
 	}
 	response, err := b.client.Do(request)
 	if err != nil {
-		return // the node may not run yet; the next announcement follows
+		return // the node may not be running yet; the announcement is repeated
 	}
 	response.Body.Close()
 }
--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -1,12 +1,12 @@
-// Package backend is a stand-in for a backend server: slots, service time,
-// drain, cold start, deadlines and cancellation, further calls, shedding,
-// reports that lag or lie, downloads by range, broken connections, and a count
-// of what ran.
+// Package backend is a stand-in for a backend server. It simulates a limited number of
+// slots, service times, draining, cold starts, deadlines and cancellation, child calls,
+// load shedding, load reports that are late or wrong, range downloads and broken
+// connections, and counts the requests that it ran.
 //
-// The query of a request asks for special treatment: time_ms=N sets its
-// service time, size=N appends N bytes to the answer, status=N answers with
-// that status, break_after=N breaks the connection after N bytes of the body
-// and break_times=K does so only for the first K requests of that address.
+// The query of a request controls its treatment: time_ms=N sets its service time in
+// milliseconds, size=N appends N bytes to the response, status=N sets the response's
+// status, break_after=N breaks the connection after N bytes of the body, and
+// break_times=K limits that to the first K requests for the same URL.
 package backend
 
 import (
@@ -19,41 +19,44 @@
 	"coltsfootward/io/upstream"
 )
 
-// Options are a stand-in's settings.
+// Options configure a Backend.
 type Options struct {
-	// Announcement is what it tells its node, but for Address and Draining.
+	// Announcement is sent to the local node. Address and Draining are filled in by the
+	// Backend.
 	Announcement upstream.Announcement
 	// NodeAddress is the local node's address for backend servers.
 	NodeAddress string
 	// ServiceTime is how long a request occupies a slot.
 	ServiceTime time.Duration
-	// Jitter is the largest random time added to ServiceTime.
+	// Jitter is the maximum random time added to ServiceTime.
 	Jitter time.Duration
-	// ColdStart is how long after its start requests take twice their time.
+	// ColdStart is how long after the start requests take twice their service time.
 	ColdStart time.Duration
-	// Children are paths, /{service}/{path}, called one after the other while a
-	// request is served.
-	Children []string
-	// AnnounceInterval is the time between announcements. Zero means 1 s.
+	// ChildPaths are the paths, /{service}/{path}, of the child calls that the server
+	// makes one after the other while it serves a request.
+	ChildPaths []string
+	// AnnounceInterval is the time between two announcements. Zero means 1 s.
 	AnnounceInterval time.Duration
-	// Shed answers 503 at once while every slot is taken, instead of waiting.
+	// Shed makes the server respond 503 while every slot is taken, instead of queueing
+	// the request.
 	Shed bool
-	// ReportLag is how old the load report is.
+	// ReportLag is the age of the load in a load report.
 	ReportLag time.Duration
-	// ReportFactor multiplies the load that is reported; zero means 1.
+	// ReportFactor multiplies the reported load; zero means 1.
 	ReportFactor float64
-	// Forget keeps no record of single runs, for measurements under load.
-	Forget bool
+	// DiscardRuns keeps no record of single requests, for measurements under load.
+	DiscardRuns bool
 }
 
-// Run is one request as the stand-in saw it.
+// Run is a request that the stand-in received.
 type Run struct {
 	Path           string
 	Organisation   string
 	Request        string
 	IdempotencyKey string
 	Header         http.Header
-	// Completed is false if the caller left before the answer was written.
+	// Completed is false if the caller cancelled the request before the response was
+	// written.
 	Completed bool
 }
 
@@ -69,12 +72,12 @@
 	done     chan struct{}
 	wait     sync.WaitGroup
 
-	mu        sync.Mutex
-	runs      []Run
-	total     int
-	behaviour Behaviour
-	broken    map[string]int
-	samples   []sample
+	mu          sync.Mutex
+	runs        []Run
+	total       int
+	behaviour   Behaviour
+	breakCounts map[string]int
+	loadSamples []loadSample
 }
 
 // New starts a backend server on listener.
@@ -83,14 +86,14 @@
 		options.AnnounceInterval = time.Second
 	}
 	b := &Backend{
-		options:   options,
-		listener:  listener,
-		client:    &http.Client{},
-		slots:     make(chan struct{}, options.Announcement.Slots),
-		started:   time.Now(),
-		done:      make(chan struct{}),
-		behaviour: Behaviour{Shed: options.Shed},
-		broken:    make(map[string]int),
+		options:     options,
+		listener:    listener,
+		client:      &http.Client{},
+		slots:       make(chan struct{}, options.Announcement.Slots),
+		started:     time.Now(),
+		done:        make(chan struct{}),
+		behaviour:   Behaviour{Shed: options.Shed},
+		breakCounts: make(map[string]int),
 	}
 	b.server = &http.Server{Handler: b.handler(), ReadHeaderTimeout: 10 * time.Second}
 	b.wait.Go(func() { _ = b.server.Serve(listener) })
@@ -98,10 +101,10 @@
 	return b
 }
 
-// Address returns the IP number and port that it serves on.
+// Address returns the IP address and port at which the server listens.
 func (b *Backend) Address() string { return b.listener.Addr().String() }
 
-// Close stops it at once.
+// Close stops the server immediately, without draining.
 func (b *Backend) Close() {
 	close(b.done)
 	b.server.Close()
@@ -109,18 +112,18 @@
 	b.client.CloseIdleConnections()
 }
 
-// Drain announces that it takes no new work.
+// Drain announces to the node that the server accepts no new requests.
 func (b *Backend) Drain() {
-	b.change(func(behaviour *Behaviour) { behaviour.Draining = true })
+	b.updateBehaviour(func(behaviour *Behaviour) { behaviour.Draining = true })
 	b.announceOnce()
 }
 
-// Slow adds a delay to every request from now on.
-func (b *Backend) Slow(delay time.Duration) {
-	b.change(func(behaviour *Behaviour) { behaviour.DelayMS = delay.Milliseconds() })
+// SetDelay adds a delay to every further request.
+func (b *Backend) SetDelay(delay time.Duration) {
+	b.updateBehaviour(func(behaviour *Behaviour) { behaviour.DelayMS = delay.Milliseconds() })
 }
 
-// Runs returns every request that reached it.
+// Runs returns all requests that the server has received.
 func (b *Backend) Runs() []Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/backend/control.go
+++ b/standin/backend/control.go
@@ -8,7 +8,7 @@
 	"github.com/gorilla/mux"
 )
 
-// The paths that tests and operators use; they reach no slot.
+// The control paths, for tests and operators. Requests to them occupy no slot.
 const (
 	PathHealth    = "/.standin/health"
 	PathLoad      = "/.standin/load"
@@ -16,52 +16,54 @@
 	PathBehaviour = "/.standin/behaviour"
 )
 
-// Behaviour is what can be switched while it runs, at PUT PathBehaviour.
+// Behaviour holds the settings that can be changed at run time, by PUT to
+// PathBehaviour.
 type Behaviour struct {
-	// Draining announces that it takes no new work.
+	// Draining announces that the server accepts no new requests.
 	Draining bool `json:"draining"`
-	// Shed answers 503 at once while every slot is taken.
+	// Shed makes the server respond 503 while every slot is taken.
 	Shed bool `json:"shed"`
-	// Unhealthy reports ill health; it goes on serving.
+	// Unhealthy makes the health check fail. The server still serves requests.
 	Unhealthy bool `json:"unhealthy"`
 	// DelayMS is added to every request, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
 }
 
-// Health answers at PathHealth.
+// Health is the response at PathHealth.
 type Health struct {
 	Healthy bool `json:"healthy"`
 }
 
-// Load answers at PathLoad. It may lag or lie, as Options say.
+// Load is the load report at PathLoad. Options.ReportLag and Options.ReportFactor
+// falsify it.
 type Load struct {
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 }
 
-// Runs answers at PathRuns: how often each idempotency key ran, and how many
-// requests ran in all.
-type Runs struct {
+// RunCounts is the response at PathRuns: the number of requests in total, and by
+// idempotency key.
+type RunCounts struct {
 	Total int            `json:"total"`
 	ByKey map[string]int `json:"by_key"`
 }
 
-// sample is the load at one time.
-type sample struct {
+// loadSample is the load at one point in time.
+type loadSample struct {
 	at      time.Time
 	running int
 }
 
-// maximumSamples bounds the load's history.
+// maximumSamples is the maximum length of the load history.
 const maximumSamples = 1024
 
 func (b *Backend) handler() http.Handler {
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	router.HandleFunc(PathHealth, func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, Health{Healthy: !b.current().Unhealthy})
+		writeJSON(w, Health{Healthy: !b.currentBehaviour().Unhealthy})
 	})
-	router.HandleFunc(PathLoad, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, b.load()) })
-	router.HandleFunc(PathRuns, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, b.counts()) })
+	router.HandleFunc(PathLoad, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, b.reportedLoad()) })
+	router.HandleFunc(PathRuns, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, b.runCounts()) })
 	router.HandleFunc(PathBehaviour, b.setBehaviour).Methods(http.MethodPut)
 	router.PathPrefix("/").HandlerFunc(b.serve)
 	return router
@@ -69,7 +71,7 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the reader may have left
+	_ = json.NewEncoder(w).Encode(value) // the client may have disconnected
 }
 
 func (b *Backend) setBehaviour(w http.ResponseWriter, r *http.Request) {
@@ -78,18 +80,18 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b.change(func(behaviour *Behaviour) { *behaviour = wanted })
+	b.updateBehaviour(func(behaviour *Behaviour) { *behaviour = wanted })
 	b.announceOnce()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (b *Backend) change(f func(*Behaviour)) {
+func (b *Backend) updateBehaviour(f func(*Behaviour)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(&b.behaviour)
 }
 
-func (b *Backend) current() Behaviour {
+func (b *Backend) currentBehaviour() Behaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.behaviour
@@ -98,14 +100,15 @@
 func (b *Backend) sampleLoad() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.samples = append(b.samples, sample{time.Now(), len(b.slots)})
-	if len(b.samples) > maximumSamples {
-		b.samples = b.samples[1:]
+	b.loadSamples = append(b.loadSamples, loadSample{time.Now(), len(b.slots)})
+	if len(b.loadSamples) > maximumSamples {
+		b.loadSamples = b.loadSamples[1:]
 	}
 }
 
-// load returns the report: the load of ReportLag ago, multiplied by ReportFactor.
-func (b *Backend) load() Load {
+// reportedLoad returns the load report: the load of ReportLag ago, multiplied by
+// ReportFactor.
+func (b *Backend) reportedLoad() Load {
 	running := len(b.slots)
 	if b.options.ReportLag > 0 {
 		running = b.loadAt(time.Now().Add(-b.options.ReportLag))
@@ -120,7 +123,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	running := 0
-	for _, s := range b.samples {
+	for _, s := range b.loadSamples {
 		if s.at.After(at) {
 			break
 		}
@@ -129,10 +132,10 @@
 	return running
 }
 
-func (b *Backend) counts() Runs {
+func (b *Backend) runCounts() RunCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	counts := Runs{Total: b.total, ByKey: make(map[string]int)}
+	counts := RunCounts{Total: b.total, ByKey: make(map[string]int)}
 	for _, run := range b.runs {
 		if run.IdempotencyKey != "" {
 			counts.ByKey[run.IdempotencyKey]++
--- a/standin/backend/serve.go
+++ b/standin/backend/serve.go
@@ -11,7 +11,7 @@
 )
 
 func (b *Backend) serve(w http.ResponseWriter, r *http.Request) {
-	index := b.began(r)
+	index := b.recordRun(r)
 	if !b.takeSlot(w, r) {
 		return
 	}
@@ -23,19 +23,20 @@
 	select {
 	case <-time.After(b.serviceTime(r)):
 	case <-r.Context().Done():
-		return // cancelled or out of time: the work is dropped
+		return // cancelled or past its deadline: stop the work
 	}
 	if status := b.callChildren(r); status != http.StatusOK {
 		w.WriteHeader(status)
 		return
 	}
-	b.completed(index)
-	b.write(b.breaking(w, r), r, body)
+	b.markCompleted(index)
+	b.writeResponse(b.breakingResponse(w, r), r, body)
 }
 
-// takeSlot waits for a slot, or answers 503 if it sheds.
+// takeSlot waits for a slot, or responds 503 if the server sheds load and no slot is
+// free. It reports whether the request has a slot.
 func (b *Backend) takeSlot(w http.ResponseWriter, r *http.Request) bool {
-	if b.current().Shed {
+	if b.currentBehaviour().Shed {
 		select {
 		case b.slots <- struct{}{}:
 			return true
@@ -53,11 +54,11 @@
 	}
 }
 
-func (b *Backend) began(r *http.Request) int {
+func (b *Backend) recordRun(r *http.Request) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total++
-	if b.options.Forget {
+	if b.options.DiscardRuns {
 		return -1
 	}
 	b.runs = append(b.runs, Run{
@@ -70,7 +71,7 @@
 	return len(b.runs) - 1
 }
 
-func (b *Backend) completed(index int) {
+func (b *Backend) markCompleted(index int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if index >= 0 {
@@ -78,11 +79,11 @@
 	}
 }
 
-// serviceTime returns how long the request takes.
+// serviceTime returns how long the request occupies its slot.
 func (b *Backend) serviceTime(r *http.Request) time.Duration {
-	d := b.options.ServiceTime + time.Duration(b.current().DelayMS)*time.Millisecond
-	if asked := query(r, "time_ms", -1); asked >= 0 {
-		d = time.Duration(asked) * time.Millisecond
+	d := b.options.ServiceTime + time.Duration(b.currentBehaviour().DelayMS)*time.Millisecond
+	if requested := queryInt(r, "time_ms", -1); requested >= 0 {
+		d = time.Duration(requested) * time.Millisecond
 	}
 	if b.options.Jitter > 0 {
 		d += rand.N(b.options.Jitter)
@@ -94,7 +95,7 @@
 }
 
 func (b *Backend) callChildren(r *http.Request) int {
-	for _, path := range b.options.Children {
+	for _, path := range b.options.ChildPaths {
 		request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+b.options.NodeAddress+path, nil)
 		if err != nil {
 			return http.StatusInternalServerError
@@ -113,53 +114,55 @@
 	return http.StatusOK
 }
 
-// breaking returns a writer that breaks the connection where the request asks
-// for it.
-func (b *Backend) breaking(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
-	after := query(r, "break_after", -1)
+// breakingResponse returns w, or a writer that breaks the connection if the request's
+// query demands it.
+func (b *Backend) breakingResponse(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
+	after := queryInt(r, "break_after", -1)
 	if after < 0 {
 		return w
 	}
-	times := query(r, "break_times", 1<<30)
+	maxBreaks := queryInt(r, "break_times", 1<<30)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	address := r.URL.String()
-	b.broken[address]++
-	if int64(b.broken[address]) > times {
+	url := r.URL.String()
+	b.breakCounts[url]++
+	if int64(b.breakCounts[url]) > maxBreaks {
 		return w
 	}
-	return &breakingWriter{ResponseWriter: w, left: after}
+	return &breakingWriter{ResponseWriter: w, remaining: after}
 }
 
-// breakingWriter resets the connection once left bytes have been written.
+// breakingWriter breaks the connection once the remaining number of bytes has been
+// written.
 type breakingWriter struct {
 	http.ResponseWriter
-	left int64
+	remaining int64
 }
 
 // Write implements http.ResponseWriter.
 func (w *breakingWriter) Write(p []byte) (int, error) {
-	if int64(len(p)) < w.left {
-		w.left -= int64(len(p))
+	if int64(len(p)) < w.remaining {
+		w.remaining -= int64(len(p))
 		return w.ResponseWriter.Write(p)
 	}
-	_, _ = w.ResponseWriter.Write(p[:w.left])
-	w.reset()
+	_, _ = w.ResponseWriter.Write(p[:w.remaining])
+	w.endConnection()
 	panic(http.ErrAbortHandler)
 }
 
-// reset sends what was written and then resets the connection. With a linger
-// of zero the kernel sends a reset in place of an orderly end.
-func (w *breakingWriter) reset() {
+// endConnection flushes the bytes written so far and closes the connection. With
+// break_after=0 nothing is flushed, and a linger of zero makes the kernel send a reset
+// instead of an orderly close.
+func (w *breakingWriter) endConnection() {
 	control := http.NewResponseController(w.ResponseWriter)
-	if w.left > 0 {
+	if w.remaining > 0 {
 		_ = control.Flush()
 	}
 	connection, _, err := control.Hijack()
 	if err != nil {
-		return // ended by the panic that follows
+		return // the panic that follows ends the connection
 	}
-	if tcp, ok := connection.(*net.TCPConn); ok && w.left == 0 {
+	if tcp, ok := connection.(*net.TCPConn); ok && w.remaining == 0 {
 		_ = tcp.SetLinger(0)
 	}
 	connection.Close()
--- a/standin/hosting/backend.go
+++ b/standin/hosting/backend.go
@@ -13,44 +13,44 @@
 // heartbeatInterval is the time between two heartbeats.
 const heartbeatInterval = 100 * time.Millisecond
 
-// Backend is a backend server beside a node. Its fields are set before Start.
-// Create it with NewBackend. It implements http.Handler and is safe for
-// concurrent use.
+// Backend is a backend server beside a node. Create it with NewBackend and set its
+// fields before Start. It implements http.Handler and is safe for concurrent use.
 type Backend struct {
 	ID, Service, Address string
 	Slots                int
-	// Control is where its node takes heartbeats.
-	Control string
-	// Serve answers requests that are this server's; the id's echo and the stamp
-	// are set. Nil means a short body.
+	// NodeAddress is where the node receives heartbeats.
+	NodeAddress string
+	// Serve responds to requests that are addressed to this server; the request id and
+	// the stamp are already set in the response's header. Nil means a short default
+	// body.
 	Serve http.HandlerFunc
-	// Forget has the server keep no list of its runs.
-	Forget bool
+	// DiscardRuns keeps no record of the requests that ran.
+	DiscardRuns bool
 
 	mu       sync.Mutex
 	sequence uint64
 	draining bool
-	// coldUntil is when the server is warm.
-	coldUntil time.Time
-	born      int64
-	runs      []*http.Request
-	done      chan struct{}
-	wait      sync.WaitGroup
+	// coldUntil is when the server becomes warm.
+	coldUntil         time.Time
+	startMilliseconds int64
+	runs              []*http.Request
+	done              chan struct{}
+	wait              sync.WaitGroup
 }
 
-// NewBackend returns a backend server that has not started.
-func NewBackend(id, service, address, control string, slots int) *Backend {
-	return &Backend{ID: id, Service: service, Address: address, Control: control, Slots: slots,
-		born: time.Now().UnixMilli(), done: make(chan struct{})}
+// NewBackend returns a backend server that does not send heartbeats yet.
+func NewBackend(id, service, address, nodeAddress string, slots int) *Backend {
+	return &Backend{ID: id, Service: service, Address: address, NodeAddress: nodeAddress, Slots: slots,
+		startMilliseconds: time.Now().UnixMilli(), done: make(chan struct{})}
 }
 
-// Start begins to send heartbeats until Close.
+// Start sends heartbeats until Close is called.
 func (b *Backend) Start() {
 	b.wait.Go(func() {
 		ticker := time.NewTicker(heartbeatInterval)
 		defer ticker.Stop()
 		for {
-			_ = b.Beat() // the node may not run yet; the next one comes soon
+			_ = b.SendHeartbeat() // the node may not be running yet; the next heartbeat follows soon
 			select {
 			case <-ticker.C:
 			case <-b.done:
@@ -60,35 +60,37 @@
 	})
 }
 
-// Close ends the heartbeats.
+// Close stops the heartbeats.
 func (b *Backend) Close() {
 	close(b.done)
 	b.wait.Wait()
 }
 
-// Drain sends a heartbeat that says that the server leaves, and returns an error
-// unless it was acknowledged.
+// Drain sends a heartbeat with the state draining. It returns an error unless the node
+// acknowledges it.
 func (b *Backend) Drain() error {
 	b.mu.Lock()
 	b.draining = true
 	b.mu.Unlock()
-	return b.Beat()
+	return b.SendHeartbeat()
 }
 
-// GoCold makes the server cold for that long. Its next heartbeat says so.
-func (b *Backend) GoCold(d time.Duration) {
+// SetCold makes the server cold for the duration d. The next heartbeat reports it.
+func (b *Backend) SetCold(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.coldUntil = time.Now().Add(d)
 }
 
-// coldMilliseconds is called with the lock held.
+// coldMilliseconds returns the remaining cold time. It must be called with the lock
+// held.
 func (b *Backend) coldMilliseconds() int64 {
 	return max(time.Until(b.coldUntil).Milliseconds(), 0)
 }
 
-// Beat sends one heartbeat.
-func (b *Backend) Beat() error {
+// SendHeartbeat sends one heartbeat. It returns an error unless the node acknowledges
+// it.
+func (b *Backend) SendHeartbeat() error {
 	b.mu.Lock()
 	b.sequence++
 	state := "ready"
@@ -97,20 +99,20 @@
 	}
 	body, err := json.Marshal(map[string]any{
 		"service": b.Service, "address": b.Address, "zone": "north", "version": "v1", "slots": b.Slots,
-		"state": state, "cold_remaining": fmt.Sprintf("%dms", b.coldMilliseconds()), "sequence": b.sequence, "born": b.born,
+		"state": state, "cold_remaining": fmt.Sprintf("%dms", b.coldMilliseconds()), "sequence": b.sequence, "born": b.startMilliseconds,
 	})
 	b.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	client := http.Client{Timeout: time.Second}
-	response, err := client.Post("http://"+b.Control+"/instances/"+b.ID+"/heartbeat", "application/json", bytes.NewReader(body))
+	response, err := client.Post("http://"+b.NodeAddress+"/instances/"+b.ID+"/heartbeat", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("hosting: heartbeat answered %d", response.StatusCode)
+		return fmt.Errorf("hosting: heartbeat got status %d", response.StatusCode)
 	}
 	return nil
 }
@@ -140,7 +142,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if !b.Forget {
+	if !b.DiscardRuns {
 		b.mu.Lock()
 		b.runs = append(b.runs, r)
 		b.mu.Unlock()
--- a/standin/hosting/document.go
+++ b/standin/hosting/document.go
@@ -21,20 +21,20 @@
 	MaxConnections int
 }
 
-// Organisation is an organisation of a Document with its key, its rate a second and
-// its burst.
+// Organisation is an organisation of a Document, with its API key, its rate limit in
+// requests per second and its burst.
 type Organisation struct {
 	Name, Key   string
 	Rate, Burst int
 }
 
-// Route is a route of a Document. Its prefix is its name between slashes.
+// Route is a route of a Document. Its path prefix is "/" + Name + "/".
 type Route struct {
 	Host, Name, Service string
-	// Idempotent says that a request may run twice.
+	// Idempotent means that a request may safely run twice.
 	Idempotent bool
-	// Importance orders the routes, the least value first.
-	Importance int
+	// Priority orders the routes; the lowest value is the most important.
+	Priority int
 }
 
 // Configure writes the operators' configuration.
@@ -64,7 +64,7 @@
 		}
 		paths[r.Host] = append(paths[r.Host], object{
 			"name": r.Name, "prefix": "/" + r.Name + "/", "kind": kind, "timeout": "2s", "target_latency": "500ms",
-			"priority": r.Importance, "max_attempts": 2, "service": r.Service,
+			"priority": r.Priority, "max_attempts": 2, "service": r.Service,
 		})
 	}
 	for _, host := range slices.Sorted(maps.Keys(paths)) {
--- a/standin/hosting/store.go
+++ b/standin/hosting/store.go
@@ -1,6 +1,6 @@
-// Package hosting is a small stand-in for the users' hosting platform: its store,
-// its operator, and the backend servers that run beside nodes. It speaks the
-// platform's protocol, so its names are the platform's.
+// Package hosting is a small stand-in for the users' hosting platform: its store, its
+// operator, and the backend servers that run beside nodes. It implements the platform's
+// protocol and uses the platform's names.
 package hosting
 
 import (
@@ -31,35 +31,37 @@
 	rows    map[rowID]Row
 	history []Row
 	version uint64
-	// dropped is the newest version whose history is gone.
-	dropped uint64
-	changed chan struct{}
-	began   time.Time
-	status  int
-	calls   int
+	// droppedVersion is the newest row version whose history was dropped.
+	droppedVersion uint64
+	changed        chan struct{}
+	started        time.Time
+	failStatus     int
+	calls          int
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{rows: make(map[rowID]Row), changed: make(chan struct{}), began: time.Now()}
+	return &Store{rows: make(map[rowID]Row), changed: make(chan struct{}), started: time.Now()}
 }
 
-// Fail has every call answered with that status, and nothing done; zero ends it.
+// Fail makes every call fail with that status and without an effect. Zero ends the
+// failure.
 func (s *Store) Fail(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status = status
+	s.failStatus = status
 }
 
-// Forget drops the history.
+// Forget drops the history of changes, so that feeds that start before the present
+// version get 410 Gone.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.dropped = s.version
+	s.droppedVersion = s.version
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,24 +70,24 @@
 
 // Write sets a row as the operator does.
 func (s *Store) Write(table, key string, value []byte) {
-	s.change(Row{Table: table, Key: key, Value: value})
+	s.applyChange(Row{Table: table, Key: key, Value: value})
 }
 
 // Remove removes a row as the operator does.
 func (s *Store) Remove(table, key string) {
-	s.change(Row{Table: table, Key: key, Tombstone: true})
+	s.applyChange(Row{Table: table, Key: key, Tombstone: true})
 }
 
-func (s *Store) change(r Row) {
+func (s *Store) applyChange(r Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	r.RowVersion = s.version
-	s.put(r)
-	s.wake()
+	s.apply(r)
+	s.notifyWatchers()
 }
 
-func (s *Store) put(r Row) {
+func (s *Store) apply(r Row) {
 	id := rowID{r.Table, r.Part, r.Key}
 	if r.Tombstone {
 		delete(s.rows, id)
@@ -95,7 +97,7 @@
 	s.history = append(s.history, r)
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -104,7 +106,7 @@
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
-	status := s.status
+	status := s.failStatus
 	s.mu.Unlock()
 	if status != 0 {
 		w.WriteHeader(status)
@@ -122,13 +124,13 @@
 	}
 }
 
-// answer is called with the lock held.
-func (s *Store) answer(w http.ResponseWriter, status int, rows []Row, more bool) {
+// respond must be called with the lock held.
+func (s *Store) respond(w http.ResponseWriter, status int, rows []Row, more bool) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(map[string]any{ // the caller may have left
+	_ = json.NewEncoder(w).Encode(map[string]any{ // the caller may have disconnected
 		"rows": rows, "has_more": more, "row_version": s.version,
-		"now": strconv.FormatInt(time.Since(s.began).Milliseconds(), 10) + "ms",
+		"now": strconv.FormatInt(time.Since(s.started).Milliseconds(), 10) + "ms",
 	})
 }
 
@@ -154,7 +156,7 @@
 		return 1
 	})
 	more := len(found) > limit
-	s.answer(w, http.StatusOK, found[:min(limit, len(found))], more)
+	s.respond(w, http.StatusOK, found[:min(limit, len(found))], more)
 }
 
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
@@ -172,15 +174,15 @@
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if after < s.dropped {
+		if after < s.droppedVersion {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		found := s.since(q.Get("table"), after)
+		found := s.changesSince(q.Get("table"), after)
 		changed := s.changed
 		if len(found) > 0 {
-			s.answer(w, http.StatusOK, found, false)
+			s.respond(w, http.StatusOK, found, false)
 			s.mu.Unlock()
 			return
 		}
@@ -191,15 +193,15 @@
 			return
 		case <-timeout:
 			s.mu.Lock()
-			s.answer(w, http.StatusOK, []Row{}, false)
+			s.respond(w, http.StatusOK, []Row{}, false)
 			s.mu.Unlock()
 			return
 		}
 	}
 }
 
-// since is called with the lock held.
-func (s *Store) since(table string, after uint64) []Row {
+// changesSince must be called with the lock held.
+func (s *Store) changesSince(table string, after uint64) []Row {
 	var found []Row
 	for _, row := range s.history {
 		if row.Table == table && row.RowVersion > after {
@@ -230,19 +232,19 @@
 	for _, e := range t.ExpectedRevision {
 		present := s.rows[rowID{e.Table, e.Part, e.Key}]
 		if present.RowVersion != e.RowVersion {
-			s.answer(w, http.StatusPreconditionFailed, []Row{present}, false)
+			s.respond(w, http.StatusPreconditionFailed, []Row{present}, false)
 			return
 		}
 	}
 	s.version++
 	for _, row := range t.Writes {
 		row.RowVersion = s.version
-		s.put(row)
+		s.apply(row)
 	}
 	for _, row := range t.Remove {
 		row.RowVersion, row.Tombstone = s.version, true
-		s.put(row)
+		s.apply(row)
 	}
-	s.wake()
-	s.answer(w, http.StatusOK, nil, false)
+	s.notifyWatchers()
+	s.respond(w, http.StatusOK, nil, false)
 }
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -12,10 +12,11 @@
 	"github.com/gorilla/mux"
 )
 
-// maximumRequest bounds a request's body in bytes.
+// maximumRequest is the maximum size of a request body, in bytes.
 const maximumRequest = 16 << 20
 
-// Handler serves the platform over HTTP, and its failure switch at PUT /failure.
+// Handler serves the platform's API over HTTP. PUT /failure sets the Failure to
+// simulate.
 func (p *Platform) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(platformio.PathRead, p.serveRead).Methods(http.MethodPost)
@@ -33,7 +34,7 @@
 		return
 	}
 	row, err := p.Read(r.Context(), request.Key)
-	answer(w, platformio.RowsResponse{Rows: []coltsfootward.Row{row}}, err)
+	writeResult(w, platformio.RowsResponse{Rows: []coltsfootward.Row{row}}, err)
 }
 
 func (p *Platform) serveScan(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +43,7 @@
 		return
 	}
 	rows, err := p.Scan(r.Context(), request.Prefix, request.After, request.Limit)
-	answer(w, platformio.RowsResponse{Rows: rows}, err)
+	writeResult(w, platformio.RowsResponse{Rows: rows}, err)
 }
 
 func (p *Platform) serveTransact(w http.ResponseWriter, r *http.Request) {
@@ -50,16 +51,16 @@
 	if !decode(w, r, &request) {
 		return
 	}
-	answer(w, struct{}{}, p.Transact(r.Context(), request))
+	writeResult(w, struct{}{}, p.Transact(r.Context(), request))
 }
 
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	data, err := p.Get(r.Context(), mux.Vars(r)["name"])
 	if err != nil {
-		answer(w, nil, err)
+		writeResult(w, nil, err)
 		return
 	}
-	_, _ = w.Write(data) // the reader may have left
+	_, _ = w.Write(data) // the client may have disconnected
 }
 
 func (p *Platform) servePut(w http.ResponseWriter, r *http.Request) {
@@ -68,7 +69,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer(w, struct{}{}, p.Put(r.Context(), mux.Vars(r)["name"], data))
+	writeResult(w, struct{}{}, p.Put(r.Context(), mux.Vars(r)["name"], data))
 }
 
 func (p *Platform) serveFailure(w http.ResponseWriter, r *http.Request) {
@@ -76,7 +77,7 @@
 	if !decode(w, r, &f) {
 		return
 	}
-	p.Fail(f)
+	p.SetFailure(f)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -88,13 +89,14 @@
 	return true
 }
 
-// answer writes the outcome. An operation that is to go unanswered ends the
-// connection, as a platform that is away would.
-func answer(w http.ResponseWriter, value any, err error) {
+// writeResult writes the result of an operation. For any error other than a conflict or
+// a missing object it aborts the connection without a response, as an unavailable
+// platform would.
+func writeResult(w http.ResponseWriter, value any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(value) // the reader may have left
+		_ = json.NewEncoder(w).Encode(value) // the client may have disconnected
 	case errors.Is(err, coltsfootward.ErrConflict):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case errors.Is(err, coltsfootward.ErrNotFound):
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for the platform: a transactional table and an
-// object store in memory, served over HTTP, with switches for its failures.
+// Package platform is a stand-in for the platform: a transactional table and an object
+// store in memory, served over HTTP, that can simulate failures.
 package platform
 
 import (
@@ -13,15 +13,16 @@
 	"coltsfootward"
 )
 
-// Failure says how the platform misbehaves. The zero value means not at all.
+// Failure configures the failures that the platform simulates. The zero value means
+// none.
 type Failure struct {
-	// Outage makes every operation go unanswered and have no effect.
+	// Outage makes every operation fail without a response and without an effect.
 	Outage bool `json:"outage"`
-	// LoseAnswers lets operations take effect and then go unanswered.
-	LoseAnswers bool `json:"lose_answers"`
-	// LoseWriteAnswers does so for writes alone; reads are answered.
-	LoseWriteAnswers bool `json:"lose_write_answers"`
-	// Delay is added to every operation, in nanoseconds.
+	// LoseResponses lets operations take effect and then drops their responses.
+	LoseResponses bool `json:"lose_answers"`
+	// LoseWriteResponses does the same for writes only.
+	LoseWriteResponses bool `json:"lose_write_answers"`
+	// Delay is added to every operation; in JSON it is given in nanoseconds.
 	Delay time.Duration `json:"delay"`
 }
 
@@ -37,27 +38,27 @@
 	writes  uint64
 }
 
-// New returns an empty platform that works.
+// New returns an empty platform without failures.
 func New() *Platform {
 	return &Platform{rows: make(map[string]coltsfootward.Row), objects: make(map[string][]byte)}
 }
 
-// Fail switches failures on or off.
-func (p *Platform) Fail(f Failure) {
+// SetFailure replaces the simulated failures.
+func (p *Platform) SetFailure(f Failure) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failure = f
 }
 
-// Counts returns how many reads (scans included) and writes took effect.
+// Counts returns the number of reads, including scans, and of writes that took effect.
 func (p *Platform) Counts() (reads, writes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads, p.writes
 }
 
-// operate runs one operation under the failure in force.
-func (p *Platform) operate(ctx context.Context, run func() error) error {
+// operate runs an operation subject to the simulated failures.
+func (p *Platform) operate(ctx context.Context, operation func() error) error {
 	p.mu.Lock()
 	failure := p.failure
 	p.mu.Unlock()
@@ -72,9 +73,9 @@
 		return coltsfootward.ErrUnavailable
 	}
 	p.mu.Lock()
-	err := run()
+	err := operation()
 	p.mu.Unlock()
-	if failure.LoseAnswers {
+	if failure.LoseResponses {
 		return coltsfootward.ErrUnavailable
 	}
 	return err
@@ -94,17 +95,17 @@
 
 // Scan implements coltsfootward.Table.
 func (p *Platform) Scan(ctx context.Context, prefix, after string, limit int) ([]coltsfootward.Row, error) {
-	var found []coltsfootward.Row
+	var rows []coltsfootward.Row
 	err := p.operate(ctx, func() error {
 		p.reads++
 		for _, key := range slices.Sorted(maps.Keys(p.rows)) {
-			if strings.HasPrefix(key, prefix) && key > after && len(found) < limit {
-				found = append(found, p.rows[key])
+			if strings.HasPrefix(key, prefix) && key > after && len(rows) < limit {
+				rows = append(rows, p.rows[key])
 			}
 		}
 		return nil
 	})
-	return found, err
+	return rows, err
 }
 
 // Transact implements coltsfootward.Table.
@@ -121,16 +122,16 @@
 		}
 		return nil
 	})
-	if p.losesWriteAnswers() {
+	if p.losesWriteResponses() {
 		return coltsfootward.ErrUnavailable
 	}
 	return err
 }
 
-func (p *Platform) losesWriteAnswers() bool {
+func (p *Platform) losesWriteResponses() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.failure.LoseWriteAnswers
+	return p.failure.LoseWriteResponses
 }
 
 func (p *Platform) write(w coltsfootward.Write) {
@@ -164,7 +165,7 @@
 		p.objects[name] = slices.Clone(data)
 		return nil
 	})
-	if p.losesWriteAnswers() {
+	if p.losesWriteResponses() {
 		return coltsfootward.ErrUnavailable
 	}
 	return err
