--- a/cmd/coltsload/emulate.go
+++ b/cmd/coltsload/emulate.go
@@ -19,10 +19,10 @@
 	Seed       uint64        `long:"seed" default:"1" description:"seed of every random choice"`
 	Service    string        `long:"service" description:"the service that has the trouble; the deepest one without it"`
 	For        time.Duration `long:"for" default:"10s" description:"how long the trouble lasts, from 4 s on"`
-	Burst      float64       `long:"burst" default:"1" description:"factor on callers' request rate during the trouble"`
+	Burst      float64       `long:"burst" default:"1" description:"what callers' requests are multiplied by meanwhile"`
 	Lost       int           `long:"lost" description:"how many of the service's backend servers are lost for good"`
-	Rejects    float64       `long:"rejects" description:"fraction, 0 to 1, of requests that the service's backend servers reject during the trouble"`
-	Fails      float64       `long:"fails" description:"fraction, 0 to 1, of the service's requests that end without a response during the trouble"`
+	Rejects    float64       `long:"rejects" description:"part of what the service's backend servers get that they reject meanwhile"`
+	Fails      float64       `long:"fails" description:"part of the service's runs that end without an answer meanwhile"`
 }
 
 // Execute implements flags.Commander.
