--- a/core/node/benchmark_test.go
+++ b/core/node/benchmark_test.go
@@ -8,8 +8,9 @@
 	"coltsfootward/core/node"
 )
 
-// BenchmarkCallThroughNode is one call through the whole core of a node that is
-// entry and upstream at once: arrival, placement, admission, dispatch, answer.
+// BenchmarkCallThroughNode measures one call through the whole core of a node
+// that is both entry node and upstream: arrival, placement, admission,
+// dispatch, response.
 func BenchmarkCallThroughNode(b *testing.B) {
 	s := newSingle(&testing.T{})
 	s.configure(coltsfootward.Rate{PerSecond: 1e9, Burst: 1e9})
@@ -18,7 +19,7 @@
 	for b.Loop() {
 		call += 2
 		s.now = s.now.Add(1000)
-		head := forwarded(s.handle(node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}))
+		head := forwardedHead(s.handle(node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}))
 		s.handle(node.PeerCallArrived{Call: call + 1, Head: head})
 		s.handle(node.DispatchEnded{Call: call + 1, Kind: node.DispatchAnswered})
 		s.handle(node.AttemptEnded{Call: call, Kind: node.AttemptAnswered, Load: s.node.Load()})
@@ -26,7 +27,7 @@
 	}
 }
 
-func forwarded(actions []node.Action) message.Call {
+func forwardedHead(actions []node.Action) message.Call {
 	for _, action := range actions {
 		if forward, ok := action.(node.Forward); ok {
 			return forward.Head
--- a/core/node/entry_route.go
+++ b/core/node/entry_route.go
@@ -11,34 +11,36 @@
 	"coltsfootward/core/record"
 )
 
-// openRouted checks who calls and what by the configuration's routes, and
-// returns the call to serve. A node that leaves serves on: its callers and the
-// backend server beside it know no other node, and go on until it is gone.
+// openRouted authenticates a request, chooses its service by the
+// configuration's routes, and returns the call to serve. A draining node still
+// accepts routed requests: its callers and its local backend server know no
+// other node, so it serves until it stops.
 func (p *entryPart) openRouted(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	configuration := p.node.configuration.current
 	if configuration.Revision() == 0 {
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalConfiguration, "no configuration has been read yet").
-			WithRetryAfter(p.node.spread(configurationReturn))
+			WithRetryAfter(p.node.spread(unconfiguredRetryAfter))
 		return nil, &r
 	}
 	route, ok := configuration.Route(e.Host, e.Path)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalUnknownRoute, "no route begins the request's host and path")
 	}
-	organisation, refused := p.organisation(configuration, route, e.Key)
+	organisation, refused := p.authenticate(configuration, route, e.Key)
 	if refused != nil {
 		return nil, refused
 	}
-	return p.buildRouted(e, route, organisation), nil
+	return p.newRoutedCall(e, route, organisation), nil
 }
 
-// configurationReturn is when a caller may come back to a node that has just started:
-// it mostly has its configuration within half a second.
-const configurationReturn = 500 * time.Millisecond
+// unconfiguredRetryAfter is the Retry-After of a node that has just started and
+// has no configuration yet. It usually has one within half a second.
+const unconfiguredRetryAfter = 500 * time.Millisecond
 
-// organisation returns whom a request is for; the zero value if nobody, as for
-// the calls of backend servers.
-func (p *entryPart) organisation(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
+// authenticate returns the organisation that a request is charged to. It
+// returns the zero value for requests without an organisation, such as those of
+// backend servers.
+func (p *entryPart) authenticate(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
 	if !c.HasOrganisations() {
 		return coltsfootward.Organisation{}, nil
 	}
@@ -53,14 +55,14 @@
 	return organisation, nil
 }
 
-func (p *entryPart) buildRouted(e RequestArrived, route coltsfootward.Route, organisation coltsfootward.Organisation) *entryCall {
+func (p *entryPart) newRoutedCall(e RequestArrived, route coltsfootward.Route, organisation coltsfootward.Organisation) *entryCall {
 	request := e.Request
 	if request == "" {
 		request = p.node.newRequestID()
 	}
-	priority, second := route.Priority, coltsfootward.PriorityCritical
+	priority, secondary := route.Priority, coltsfootward.PriorityCritical
 	if organisation.Name != "" {
-		second = route.Priority
+		secondary = route.Priority
 	}
 	if organisation.Priority != "" {
 		priority = organisation.Priority
@@ -70,26 +72,26 @@
 		timeout = min(timeout, route.Timeout)
 	}
 	call := &entryCall{
-		id:          e.Call,
-		arrived:     p.node.now.Expiry,
-		deadline:    p.node.now.Expiry + timeout,
-		timeout:     timeout,
-		budget:      max(route.Attempts, 1),
-		mayRetry:    true,
-		tried:       make(map[coltsfootward.InstanceID]bool),
-		unmetered:   organisation.Name == "" || organisation.Unlimited,
-		objective:   route.Objective,
-		ownAttempts: true,
+		id:           e.Call,
+		arrivedAt:    p.node.now.Expiry,
+		deadline:     p.node.now.Expiry + timeout,
+		timeout:      timeout,
+		budget:       max(route.Attempts, 1),
+		retryAllowed: true,
+		tried:        make(map[coltsfootward.InstanceID]bool),
+		rateExempt:   organisation.Name == "" || organisation.Unlimited,
+		objective:    route.Objective,
+		routed:       true,
 	}
 	call.head = message.Call{
 		Request:      request,
 		Organisation: organisation.Name,
-		Service:      p.split(route),
+		Service:      p.chooseService(route),
 		Method:       e.Method,
 		Path:         e.Path,
 		Priority:     priority,
-		Second:       second,
-		ShedRank:     RoutedRank(priority, second, organisation.Name, request),
+		Second:       secondary,
+		ShedRank:     RoutedRank(priority, secondary, organisation.Name, request),
 		Unrepeatable: route.Unrepeatable,
 		Route:        route.Name,
 		Host:         e.Host,
@@ -97,42 +99,45 @@
 	}
 	if organisation.Name == "" {
 		call.head.Depth = 1
-		call.head.Repeat = p.node.source.Float64() < p.node.upstream.repeatedPart()
+		call.head.Repeat = p.node.source.Float64() < p.node.upstream.inFlightRetryRatio()
 		p.node.callees.Called(p.node.now.Monotonic, route.Name)
 	}
 	return call
 }
 
-// splitState is how far each target of a route is behind its share.
+// splitState is the state of the smooth weighted round robin over a route's
+// targets.
 type splitState struct {
-	targets []coltsfootward.RouteTarget
-	behind  []int
+	targets        []coltsfootward.RouteTarget
+	currentWeights []int
 }
 
-// split chooses the service of a route's next request by smooth weighted round
-// robin: each node's requests keep the weights exactly, without chance, so the
-// fleet's do too. What a service has no room for is refused and not moved.
-func (p *entryPart) split(route coltsfootward.Route) coltsfootward.ServiceName {
+// chooseService returns the service for a route's next request by smooth
+// weighted round robin. The choice is deterministic: each node's requests match
+// the weights exactly, and therefore so do those of the whole deployment. A
+// request that the chosen service has no capacity for is refused, not sent to
+// another service.
+func (p *entryPart) chooseService(route coltsfootward.Route) coltsfootward.ServiceName {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
-	state, ok := p.splits[route.Name]
+	state, ok := p.splitStates[route.Name]
 	if !ok || !sameTargets(state.targets, route.Targets) {
-		state = &splitState{targets: route.Targets, behind: make([]int, len(route.Targets))}
-		p.splits[route.Name] = state
+		state = &splitState{targets: route.Targets, currentWeights: make([]int, len(route.Targets))}
+		p.splitStates[route.Name] = state
 	}
 	best, sum := -1, 0
 	for i, target := range route.Targets {
 		sum += target.Weight
-		state.behind[i] += target.Weight
-		if best < 0 || state.behind[i] > state.behind[best] {
+		state.currentWeights[i] += target.Weight
+		if best < 0 || state.currentWeights[i] > state.currentWeights[best] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return ""
 	}
-	state.behind[best] -= sum
+	state.currentWeights[best] -= sum
 	return route.Targets[best].Service
 }
 
@@ -148,76 +153,80 @@
 	return true
 }
 
-// forgetRoutes drops what is known of routes that a configuration no longer has.
+// forgetRoutes drops the state of routes that the configuration no longer has.
 func (p *entryPart) forgetRoutes(c coltsfootward.Configuration) {
 	names := make(map[coltsfootward.RouteName]bool)
 	for _, route := range c.Routes() {
 		names[route.Name] = true
 	}
-	maps.DeleteFunc(p.splits, func(name coltsfootward.RouteName, _ *splitState) bool { return !names[name] })
+	maps.DeleteFunc(p.splitStates, func(name coltsfootward.RouteName, _ *splitState) bool { return !names[name] })
 	p.node.gates.Forget(func(name coltsfootward.RouteName) bool { return names[name] })
 }
 
-// KnownClasses returns how many classes of requests the node knows the needs of.
+// KnownClasses returns the number of request classes whose required services
+// are known to the node.
 func (n *Node) KnownClasses() int { return n.gates.Classes() }
 
-// refusedAtGate refuses a caller's request that a service which it needs, here
-// or further down the chain, has no room for, before any work is done for it. A
-// further call of a request that has begun is never refused so: the work above it
-// would be lost.
-func (p *entryPart) refusedAtGate(call *entryCall) bool {
+// refuseAtGate refuses a caller's request if a service that it needs, directly
+// or further down the call chain, has no capacity for it. The refusal comes
+// before any work is done for the request. Child calls are never refused here,
+// because the work already done by the requests above them would be lost.
+func (p *entryPart) refuseAtGate(call *entryCall) bool {
 	if call.head.Depth > 0 {
 		return false
 	}
-	full, passed := p.node.gates.Admit(call.head.Route, call.head.ShedRank)
-	if passed {
+	full, admitted := p.node.gates.Admit(call.head.Route, call.head.ShedRank)
+	if admitted {
 		return false
 	}
 	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, fmt.Sprintf("service %q, which the request needs, has no room for requests of this importance", full)).
-		WithRetryAfter(p.node.placement.coldReturn(full)+p.node.spread(returnAfter(call.objective))), p.gateEvidence(call, full)...)
+		WithRetryAfter(p.node.placement.coldRetryAfter(full)+p.node.spread(gateRetryAfter(call.objective))), p.gateEvidence(call, full)...)
 	return true
 }
 
-// The bounds of what a caller refused at a gate is told.
+// Bounds for the Retry-After of a caller that is refused at a gate, before
+// jitter.
 const (
-	earliestReturn = 100 * time.Millisecond
-	latestReturn   = time.Second
-	// returnPart is the part of the objective after which it may come back.
-	returnPart = 3
+	minGateRetryAfter = 100 * time.Millisecond
+	maxGateRetryAfter = time.Second
+	// objectiveDivisor is the number by which the latency objective is divided
+	// to give the Retry-After.
+	objectiveDivisor = 3
 )
 
-// returnAfter says when a caller refused at a gate may come back, before
-// spreading. A gate lets a part of the demand pass at any time and moves within a
-// second or two, so the next try is as likely to pass soon as late; soon, its
-// answer may still have its full worth.
-func returnAfter(objective time.Duration) time.Duration {
-	return min(max(objective/returnPart, earliestReturn), latestReturn)
+// gateRetryAfter returns when a caller that was refused at a gate may retry,
+// before jitter. A gate always admits part of the demand and adjusts within a
+// second or two, so an early retry is as likely to be admitted as a late one,
+// and its response may still have its full value.
+func gateRetryAfter(objective time.Duration) time.Duration {
+	return min(max(objective/objectiveDivisor, minGateRetryAfter), maxGateRetryAfter)
 }
 
-// callEnded notes how a further call of the local backend server ended.
-func (p *entryPart) callEnded(call *entryCall, failed bool) {
-	if call.ownAttempts && call.head.Depth > 0 {
-		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrived, failed)
+// recordChildEnd records how long a child call of the local backend server took
+// and whether it failed.
+func (p *entryPart) recordChildEnd(call *entryCall, failed bool) {
+	if call.routed && call.head.Depth > 0 {
+		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrivedAt, failed)
 	}
 }
 
-// moveGates sets the gates and tells of those that have moved.
-func (p *entryPart) moveGates() {
+// updateGates adjusts the gates and reports those that have changed.
+func (p *entryPart) updateGates() {
 	now := p.node.now.Monotonic
-	p.node.placement.withholdCold()
+	p.node.placement.withholdForCold()
 	p.node.gates.Tick(now)
-	if now < p.nextMoved {
+	if now < p.nextGateReport {
 		return
 	}
-	p.nextMoved = now + movedInterval
+	p.nextGateReport = now + gateReportInterval
 	for _, m := range p.node.gates.Moved(now) {
 		p.node.report(record.GateMoved, field("service", string(m.Service)), field("excess", decimal(m.Excess)),
 			field("age", m.Age.String()), field("passed", decimal(m.Passed)))
 	}
 }
 
-// movedInterval is the time between two looks at which gates have moved, so that
-// each is told of at most twice a second.
-const movedInterval = 500 * time.Millisecond
+// gateReportInterval is the time between two checks for changed gates, so each
+// gate is reported at most twice a second.
+const gateReportInterval = 500 * time.Millisecond
 
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
