--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -134,14 +134,14 @@
 	e.keep = e.request.Header.Get(HeaderIdempotencyKey) != ""
 	whole := e.copy(answer)
 	if !whole && e.download.resumable() && e.request.Context().Err() == nil {
-		e.face.loop.Post(node.AnswerBroken{Call: e.call.ID})
+		e.face.loop.Post(node.ResponseTruncated{Call: e.call.ID})
 		return false
 	}
 	end, ok := answer.End()
 	if !ok {
 		end.Attempts = -1
 	}
-	e.face.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Whole: whole, Answer: e.kept(answer, whole)})
+	e.face.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Complete: whole, Answer: e.kept(answer, whole)})
 	if !whole {
 		answer.Close()
 		panic(http.ErrAbortHandler)
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -108,13 +108,13 @@
 
 // end sends the end of the answer, and the answer with it if it is whole. The peer may
 // have left.
-func (d *dispatch) end(a node.EndAnswer) {
-	end := message.End{Attempts: a.Attempts, Needed: a.Needed}
+func (d *dispatch) end(a node.EndResponse) {
+	end := message.ResponseEnd{Attempts: a.Attempts, Needed: a.Needed}
 	if d.whole == nil {
 		_ = d.writer.End(end)
 		return
 	}
-	head := message.Answer{Status: d.whole.status, Header: d.whole.header, Load: a.Load}
+	head := message.Response{Status: d.whole.status, Header: d.whole.header, Load: a.Load}
 	_ = d.writer.Whole(head, d.whole.body, end)
 }
 
@@ -123,7 +123,7 @@
 func (d *dispatch) begin(response *http.Response, first []byte) node.DispatchKind {
 	var load message.Load
 	d.server.loop.Inspect(func(n *node.Node) { load = n.LoadFor(d.head) })
-	head := message.Answer{Status: response.StatusCode, Header: d.answerFields(response.Header), Load: load}
+	head := message.Response{Status: response.StatusCode, Header: d.answerFields(response.Header), Load: load}
 	if d.writer.Head(head) != nil {
 		return node.DispatchCancelled
 	}
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -134,7 +134,7 @@
 					return
 				}
 				left = nil
-			case node.EndAnswer:
+			case node.EndResponse:
 				running.end(a)
 				return
 			}
@@ -148,8 +148,8 @@
 }
 
 func writeRefusal(w *peer.AnswerWriter, a node.Refuse) {
-	head := message.Answer{Refusal: &a.Refusal, Load: a.Load}
-	_ = w.Whole(head, nil, message.End{Attempts: a.Attempts}) // the peer may have left
+	head := message.Response{Refusal: &a.Refusal, Load: a.Load}
+	_ = w.Whole(head, nil, message.ResponseEnd{Attempts: a.Attempts}) // the peer may have left
 }
 
 // dispatch is one request to the backend server.
