--- a/core/nodetest/attempt_test.go
+++ b/core/nodetest/attempt_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// chain is a rig whose services call each other in layers.
+// chain is a rig with one service per layer; each service calls the next one.
 type chain struct {
 	rig     *nodetest.Rig
 	entry   *nodetest.Member
@@ -26,7 +26,7 @@
 type chainOptions struct {
 	depth, fanOut, instances, budget int
 	parallel                         bool
-	// fail is the share of runs that fail after their time, at any layer.
+	// fail is the share of runs, at every layer, that fail after their service time.
 	fail float64
 }
 
@@ -69,7 +69,7 @@
 	return all
 }
 
-// dispatches counts the runs of each request over the whole chain.
+// dispatches returns, for each request, the number of runs at all layers.
 func (c *chain) dispatches() map[coltsfootward.RequestID]int {
 	counts := make(map[coltsfootward.RequestID]int)
 	for _, m := range c.members {
@@ -88,10 +88,12 @@
 	return total
 }
 
-// A deep service fails, links break, nodes die and callers leave, each in any
-// order. Were one attempt counted in two places, a lost child's slice given out
-// anew, or a late child's attempts forgotten with its parent, the backend
-// servers together would see more of a request than its budget.
+// Guards against a request being dispatched more often, over all services, than
+// its attempt budget allows. This happens if an attempt is not charged against
+// the budget, if the allocation of a lost child call is given out a second time,
+// or if the attempts of a late child call are lost when its parent ends. Runs
+// fail, links are partitioned, nodes are killed and paused, and callers cancel
+// their requests or time out, in random order.
 func TestAttemptsNeverExceedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := chainOptions{
@@ -116,13 +118,13 @@
 		}
 		for i, outcome := range outcomes {
 			if !outcome.Done {
-				t.Fatalf("request %d got no final answer", i)
+				t.Fatalf("request %d has not ended", i)
 			}
 		}
 	})
 }
 
-// step sends a request or causes a failure.
+// step sends a request, causes a failure or ends one.
 func (c *chain) step(t *rapid.T) []*nodetest.Outcome {
 	m := c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "member")]
 	other := c.members[rapid.IntRange(0, len(c.members)-1).Draw(t, "other")]
@@ -153,8 +155,9 @@
 	return nil
 }
 
-// naive returns how many dispatches one call makes and whether it is answered
-// if each layer sends a failed call again, up to three times, by itself.
+// retryPerLayer simulates a chain in which each layer makes up to three attempts
+// of a call, independently of the other layers. It returns the number of
+// dispatches that one call causes and whether the call is answered.
 func naive(source *rand.Rand, depth int, o chainOptions) (int, bool) {
 	total := 0
 	for range 3 {
@@ -177,9 +180,10 @@
 	return total, false
 }
 
-// The deepest chain of the target fails at every layer. If each layer retries
-// by itself the failures multiply: one request becomes thousands of dispatches,
-// which keep the services down. The escrow holds the total to the budget.
+// Compares the attempt budget with independent retries at each layer. In a chain
+// of seven services that fail at every layer, independent retries multiply: one
+// request becomes thousands of dispatches, which keep the services overloaded.
+// The attempt budget bounds the total.
 func TestAttemptsAgainstEachLayerRetrying(t *testing.T) {
 	for _, o := range []chainOptions{
 		{depth: 7, fanOut: 1, instances: 2, budget: 16, fail: 0},
@@ -196,7 +200,7 @@
 		source := rand.New(rand.NewPCG(1, 9))
 		requests := 20
 		if o.fanOut == 3 && o.fail == 1 {
-			requests = 2 // millions of dispatches each, if each layer retries
+			requests = 2 // with retries per layer, each request causes millions of dispatches
 		}
 		naiveTotal, naiveAnswered, answered := 0, 0, 0
 		for range requests {
@@ -211,7 +215,7 @@
 				answered++
 			}
 		}
-		t.Logf("depth %d, fan-out %d, failing %4.1f%%: dispatches %6d, answered %2d of %d; each layer retrying: dispatches %8d, answered %2d",
+		t.Logf("depth %d, fan-out %d, failing %4.1f%%: dispatches %6d, answered %2d of %d; retries per layer: dispatches %8d, answered %2d",
 			o.depth, o.fanOut, 100*o.fail, c.total(), answered, requests, naiveTotal, naiveAnswered)
 		if total, most := c.total(), requests*o.budget; total > most {
 			t.Errorf("%+v: got %d dispatches, want at most %d", o, total, most)
@@ -220,7 +224,7 @@
 			t.Errorf("%+v: answered %d of %d without a failure", o, answered, requests)
 		}
 		if o.fail == 1 && naiveTotal < 10*c.total() {
-			t.Errorf("%+v: each layer retrying made %d dispatches, want them to multiply beyond the %d here", o, naiveTotal, c.total())
+			t.Errorf("%+v: retries per layer made %d dispatches, want at least ten times the %d under the attempt budget", o, naiveTotal, c.total())
 		}
 	}
 }
--- a/core/nodetest/backend.go
+++ b/core/nodetest/backend.go
@@ -13,57 +13,63 @@
 
 const statusOK = http.StatusOK
 
-// messageLoad keeps the signatures of this package short.
+// messageLoad shortens signatures.
 type messageLoad = message.Load
 
-// Run is one request as the backend server saw it.
+// Run is one execution of a request by a backend server.
 type Run struct {
 	Head  message.Call
 	Token node.CallToken
-	// Began is when it reached the backend server, Ended when it left it.
+	// Began is the virtual time at which the request reached the backend server,
+	// Ended the time at which it completed, failed or was cancelled.
 	Began, Ended time.Duration
-	// Completed is set if it ran to its end.
+	// Completed is set if the request ran to completion.
 	Completed bool
 }
 
-// Backend is a fake backend server: slots, and a queue of its own without
-// bound for whatever its node sends beyond them. Its fields may be changed
-// while the rig runs.
+// Backend is a fake backend server. It serves up to Slots requests at once and
+// queues any further ones in an unbounded queue. Its fields may be changed while
+// the rig runs.
 type Backend struct {
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests served concurrently.
 	Slots int
-	// ServiceTime returns how long a request takes once it has a slot; nil
-	// means 10 ms.
+	// ServiceTime returns the time that a request takes once it has a slot and its
+	// child calls have ended. Nil means 10 ms.
 	ServiceTime func(message.Call) time.Duration
-	// Children returns the further calls that a request makes, one after the
-	// other, before its own service time. If one of them is not answered, the
-	// request fails. Nil means none.
+	// Children returns the child calls that a request makes, one after the other,
+	// before its own service time. If one of them is not answered with success,
+	// the request fails. Nil means no child calls.
 	Children func(message.Call) []Request
-	// Parallel makes a request's further calls all at once. If one of them is
-	// not answered, the request fails at once and the others go on.
+	// Parallel makes all child calls of a request concurrently. If one of them is
+	// not answered with success, the request fails at once and the other child
+	// calls continue.
 	Parallel bool
-	// AnswersFailures makes a request one of whose further calls was not answered
-	// end with an answer of status 500, and not without one.
+	// AnswersFailures makes a request end with a response of status 500 if one of
+	// its child calls failed. Without it, the request ends without a response.
 	AnswersFailures bool
-	// Fail, if set, makes requests end without an answer after their time.
+	// Fail, if set, selects requests that end without a response after their
+	// service time.
 	Fail func(message.Call) bool
-	// Reject, if set, makes the server answer that it does not run a request.
+	// Reject, if set, selects requests that the server rejects without executing
+	// them.
 	Reject func(message.Call) bool
-	// ColdRate is how many requests a second it bears while it is cold; with more
-	// than twice as many in one second it crashes. Zero means that it bears all.
+	// ColdRate is the number of requests a second that the server can handle while
+	// it is cold. It crashes if more than twice as many arrive within one second.
+	// Zero means no limit.
 	ColdRate float64
-	// ColdTime is how long it is cold after a crash.
+	// ColdTime is the duration of the cold period after a crash.
 	ColdTime time.Duration
-	// Crashes is how often it has crashed.
+	// Crashes counts the server's crashes.
 	Crashes int
-	// Runs holds every request that reached it, in order.
+	// Runs holds every request that reached the server, in order of arrival.
 	Runs []*Run
 
 	member  *Member
 	service coltsfootward.ServiceName
 	queue   []*job
 	running map[node.CallID]*job
-	// coldUntil is when it is warm, down is set while it does not listen.
+	// coldUntil is the time at which the cold period ends. down is set while the
+	// server does not listen after a crash.
 	coldUntil time.Duration
 	down      bool
 }
@@ -73,7 +79,7 @@
 	run      *Run
 	children []Request
 	child    *Outcome
-	// pending counts parallel calls that have not ended.
+	// pending is the number of parallel child calls that have not ended.
 	pending int
 	stopped bool
 }
@@ -82,10 +88,10 @@
 	return &Backend{member: m, running: make(map[node.CallID]*job)}
 }
 
-// Running returns how many requests hold a slot.
+// Running returns the number of requests that hold a slot.
 func (b *Backend) Running() int { return len(b.running) }
 
-// Waiting returns how many requests wait inside the backend server.
+// Waiting returns the number of requests in the backend server's own queue.
 func (b *Backend) Waiting() int { return len(b.queue) }
 
 func (b *Backend) reset() {
@@ -124,18 +130,18 @@
 	b.fill()
 }
 
-// crashTime is how long a backend server that has crashed does not listen.
+// crashDowntime is the time for which a crashed backend server does not listen.
 const crashTime = 500 * time.Millisecond
 
-// GoCold makes the backend server cold for that long, as far as it is concerned; its
-// node is not told.
+// SetCold makes the backend server cold for d without reporting this to its node.
 func (b *Backend) GoCold(d time.Duration) { b.coldUntil = b.member.rig.Now() + d }
 
-// Cold returns how much longer the backend server is cold.
+// Cold returns the remaining time of the backend server's cold period.
 func (b *Backend) Cold() time.Duration { return max(b.coldUntil-b.member.rig.Now(), 0) }
 
-// MostStarts returns the highest number of requests that reached the backend server
-// within a second, of those that came from that time on.
+// MaxStartsPerSecond returns the highest number of requests that reached the
+// backend server within any second, counting only requests from the given time
+// on.
 func (b *Backend) MostStarts(from time.Duration) int {
 	most, first := 0, 0
 	for i, run := range b.Runs {
@@ -155,7 +161,8 @@
 	return b.ColdRate > 0 && b.Cold() > 0 && float64(b.MostStarts(b.member.rig.Now()-time.Second)) > 2*b.ColdRate
 }
 
-// crash breaks off all and does not listen for a while. It comes back cold.
+// crash aborts all requests and stops listening for crashDowntime. Unless the
+// node has restarted by then, the server then announces itself as cold.
 func (b *Backend) crash() {
 	b.Crashes++
 	b.down = true
@@ -169,7 +176,7 @@
 	})
 }
 
-// Break breaks off all that the backend server has in hand.
+// AbortAll aborts all running and queued requests without a response.
 func (b *Backend) Break() {
 	for _, id := range slices.Sorted(maps.Keys(b.running)) {
 		b.queue = append(b.queue, b.running[id])
@@ -191,7 +198,7 @@
 	}
 }
 
-// step makes the next further call, or serves.
+// step makes the next child call, or starts the service time if none remains.
 func (b *Backend) step(j *job) {
 	if b.Parallel && len(j.children) > 0 {
 		b.fanOut(j)
@@ -207,7 +214,8 @@
 	b.serve(j)
 }
 
-// fanOut makes all further calls at once and serves when all are answered.
+// fanOut makes all child calls concurrently and starts the service time once all
+// are answered.
 func (b *Backend) fanOut(j *job) {
 	children := j.children
 	j.children = nil
@@ -256,7 +264,7 @@
 	})
 }
 
-// failed ends a request one of whose further calls was not answered.
+// failed ends a request after one of its child calls failed.
 func (b *Backend) failed(j *job) {
 	if s, ok := b.member.serving[j.call]; ok && b.AnswersFailures {
 		s.status = http.StatusInternalServerError
@@ -283,7 +291,8 @@
 	b.fill()
 }
 
-// cancel ends a request that nobody waits for.
+// cancel ends a request whose response nobody waits for, together with its child
+// call in progress.
 func (b *Backend) cancel(call node.CallID) {
 	j, ok := b.running[call]
 	if !ok {
--- a/core/nodetest/chain_test.go
+++ b/core/nodetest/chain_test.go
@@ -11,11 +11,12 @@
 	"coltsfootward/core/nodetest"
 )
 
-// deepest is how many services one request passes at the most.
+// maxDepth is the highest number of services that one request passes through.
 const deepest = 7
 
-// newDefaultChain returns a rig in which each service calls the next one, all by one
-// node and backend server each, with every option at its default.
+// newDefaultChain returns a rig in which each service calls the next one, and its
+// first member. Each service has one node and one backend server, and every
+// option has its default.
 func newDefaultChain(seed uint64) (*nodetest.Rig, *nodetest.Member) {
 	r := nodetest.New(seed)
 	domains := []coltsfootward.FailureDomain{"north"}
@@ -41,10 +42,11 @@
 	return r, first
 }
 
-// The first callers after a deployment starts are refused for want of attempts,
-// although nothing fails. No node has seen how many calls its backend server
-// makes, so each keeps half of the attempts back for a second call, and the
-// deepest service is left without any.
+// Guards against the first requests after the start of a deployment being refused
+// because their attempt budget is used up, although nothing fails. No node has
+// observed yet how many child calls its backend server makes. If each node reserved
+// half of the attempts for a second child call, none would remain for the last
+// service of the chain.
 func TestFirstRequestPassesTheDeepestChain(t *testing.T) {
 	r, first := newDefaultChain(1)
 	for i := range 5 {
--- a/core/nodetest/claim_test.go
+++ b/core/nodetest/claim_test.go
@@ -16,7 +16,7 @@
 )
 
 // orders is a rig with three failure domains and two backend servers of the
-// service orders, each in another domain.
+// service orders in two of the domains.
 type orders struct {
 	rig     *nodetest.Rig
 	members []*nodetest.Member
@@ -41,11 +41,11 @@
 			m.Announce("orders", 4)
 		}
 	}
-	o.rig.Run(10 * time.Second) // until each slot has its holder
+	o.rig.Run(10 * time.Second) // until each slot has a holder
 	return o
 }
 
-// mint returns an idempotency key that carries the rig's time.
+// newTimestampedKey returns an idempotency key that contains its creation time.
 func (o *orders) mint() string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(o.rig.Wall().UnixMilli())<<16|7<<12)
@@ -59,7 +59,7 @@
 	return outcome
 }
 
-// runs counts how often each key reached a backend server.
+// runs returns, for each idempotency key, how often it reached a backend server.
 func (o *orders) runs() map[string]int {
 	counts := make(map[string]int)
 	for _, m := range o.members {
@@ -70,7 +70,8 @@
 	return counts
 }
 
-// check compares what ran with what the callers were told.
+// check verifies that each order ran at most once, and that not every request of
+// an order that ran was refused as not_run.
 func (o *orders) check(t interface{ Errorf(string, ...any) }) {
 	runs := o.runs()
 	for idempotencyKey, outcomes := range o.sent {
@@ -82,14 +83,15 @@
 			told = told || outcome.Refusal == nil || outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
 		}
 		if runs[idempotencyKey] > 0 && !told {
-			t.Errorf("key %s ran, and all %d tries were told not_run", idempotencyKey, len(outcomes))
+			t.Errorf("key %s ran, but all %d requests with it were refused as not_run", idempotencyKey, len(outcomes))
 		}
 	}
 }
 
-// A cooperative's order is sent again and again, through nodes of every failure
-// domain, while nodes die, pause and restart, links break, messages and answers
-// are lost and callers leave. Run twice it charges a farmer twice.
+// Guards against an order that runs twice and thereby charges the customer twice.
+// Orders are repeated with the same idempotency key through nodes of every failure
+// domain, while nodes are killed, paused and restarted, links are partitioned,
+// messages and responses are lost, backend servers fail and callers cancel requests.
 func TestRepeatsThroughAnyNodeRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOrders(rapid.Uint64().Draw(t, "seed"))
@@ -157,37 +159,39 @@
 	})
 }
 
-// In calm, a repeat gets the first answer, from any node; a key that was
-// refused as not run is free again; a key for another order is refused.
+// Without faults, a repeated request receives the response of the first one
+// through any node. While the first one runs, it is refused as a duplicate. The
+// same key with another body is refused as reused.
 func TestRepeatIsAnsweredAsTheFirst(t *testing.T) {
 	o := newOrders(3)
 	order := o.mint()
 	first := o.place(o.members[0], order)
 	if !o.rig.RunUntil(time.Second, func() bool { return first.Attempts > 0 }) {
-		t.Fatalf("got %+v, want the first order forwarded", first)
+		t.Fatalf("got %+v, want the first request forwarded", first)
 	}
 	while := o.place(o.members[1], order)
 	o.rig.Run(time.Second)
 	if !first.Answered || while.Refusal == nil || while.Refusal.Kind != coltsfootward.RefusalDuplicate || while.Refusal.RetryAfter <= 0 {
-		t.Fatalf("got first %+v, repeat while it ran %+v with refusal %v; want an answer and %s", first, while, while.Refusal, coltsfootward.RefusalDuplicate)
+		t.Fatalf("got first %+v, repeated request while it ran %+v with refusal %v; want an answer and %s", first, while, while.Refusal, coltsfootward.RefusalDuplicate)
 	}
 	for _, m := range o.members {
 		repeat := o.place(m, order)
 		o.rig.Run(time.Second)
 		if !repeat.Replayed || repeat.By != first.By {
-			t.Errorf("repeat through %s: got %+v, refusal %v, want the first answer", m.Instance.ID, repeat, repeat.Refusal)
+			t.Errorf("repeated request through %s: got %+v, refusal %v, want the first response", m.Instance.ID, repeat, repeat.Refusal)
 		}
 	}
 	changed := o.members[2].Send(nodetest.Request{Key: key, Service: "orders", Method: "POST", IdempotencyKey: order, Body: 7})
 	o.rig.Run(time.Second)
 	if changed.Refusal == nil || changed.Refusal.Kind != coltsfootward.RefusalKeyReused {
-		t.Errorf("key for another order: got %+v, want %s", changed.Refusal, coltsfootward.RefusalKeyReused)
+		t.Errorf("key with another body: got %+v, want %s", changed.Refusal, coltsfootward.RefusalKeyReused)
 	}
 	o.check(t)
 }
 
-// No backend server takes work, so an order ends as not run; its repeat must
-// not be refused as a duplicate once one is back.
+// Guards against a key that stays claimed although nothing ran. All backend servers
+// are draining, so an order is refused as not run. Once one accepts requests again,
+// the repeated order must run and not be refused as a duplicate.
 func TestKeyIsFreeAfterNothingRan(t *testing.T) {
 	o := newOrders(4)
 	for _, m := range o.members {
@@ -207,14 +211,15 @@
 	repeat := o.place(o.members[5], order)
 	o.rig.Run(time.Second)
 	if !repeat.Answered || repeat.Replayed {
-		t.Errorf("repeat: got %+v with refusal %v, want an answer of its own", repeat, repeat.Refusal)
+		t.Errorf("repeated request: got %+v with refusal %v, want a new response", repeat, repeat.Refusal)
 	}
 	o.check(t)
 }
 
-// A lookup breaks off at one backend server and is then refused by another
-// node whose backend server has just changed its service. Told "not run", the
-// caller believes that nothing ran.
+// Guards against a refusal as not run although an earlier attempt may have run.
+// A request fails at one backend server and is then refused by another node whose
+// backend server has just changed its service. The refusal must report the
+// execution as unknown.
 func TestDoubtOfEarlierAttemptIsTold(t *testing.T) {
 	r, north, south := newPair(5)
 	west := r.Add(node.Options{Self: nodetest.Instance("west-1", "south"), Domains: []coltsfootward.FailureDomain{"north", "south"}})
@@ -233,9 +238,9 @@
 	}
 }
 
-// The node that holds a domain's slots is restarted as planned. Callers with
-// keys that carry no time must not be held off for a window, and a repeat of an
-// order that ran before must not run again.
+// Guards against a planned stop of the node that holds a domain's slots blocking
+// requests with opaque keys for the length of a retention window, and against a
+// repeated order running again because its claim was lost with the holder.
 func TestPlannedStopOfHolderHoldsOffNoKey(t *testing.T) {
 	o := newOrders(6)
 	order := func(i int) string { return fmt.Sprint("opaque-", i) }
@@ -254,7 +259,7 @@
 		outcome := o.place(o.members[2], order(i))
 		o.rig.Run(100 * time.Millisecond)
 		if outcome.Refusal != nil && outcome.Refusal.Kind == coltsfootward.RefusalClaim {
-			t.Errorf("key %d: got refusal %v, want it served or told as run", i, outcome.Refusal)
+			t.Errorf("key %d: got refusal %v, want it executed or reported as executed", i, outcome.Refusal)
 		}
 	}
 	o.check(t)
--- a/core/nodetest/cold_test.go
+++ b/core/nodetest/cold_test.go
@@ -12,8 +12,8 @@
 const (
 	coldRate = 15
 	coldTime = 3 * time.Second
-	// coldBound is how many requests may reach a cold server in any second: its rate
-	// and half of it more, and a few that are on their way.
+	// maxColdStarts is the highest number of requests that may reach a cold server in
+	// any second: one and a half times its cold rate, and a few in flight.
 	coldBound = coldRate*3/2 + 8
 )
 
@@ -22,8 +22,8 @@
 		WithService(coltsfootward.Service{Name: "quotes", ColdRate: coldRate, ColdTime: coldTime})
 }
 
-// newCold returns a rig whose backend servers crash when they are cold and get more
-// than twice what they bear.
+// newColdRig returns a rig whose backend servers crash if they are cold and receive
+// more than twice their cold rate.
 func newCold(seed uint64, nodes int, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
 	r, members := newRouted(seed, nodes, coldDocument(), domains...)
 	for _, m := range members {
@@ -35,7 +35,8 @@
 	return r, members
 }
 
-// load sends that many requests a second, spread over the members, and returns them.
+// sendLoad sends perSecond requests a second, round robin over the members, and
+// returns their outcomes.
 func load(r *nodetest.Rig, members []*nodetest.Member, perSecond int, length time.Duration) []*nodetest.Outcome {
 	var sent []*nodetest.Outcome
 	gap := time.Second / time.Duration(perSecond)
@@ -56,8 +57,8 @@
 	return float64(answered) / float64(max(len(sent), 1))
 }
 
-// Guards against a server that crashes under its share of the demand as often as it
-// comes back, while the others have room for all.
+// Guards against a cold server that receives its full share of the demand and
+// crashes each time it returns, although the warm servers have capacity for all.
 func TestColdServerAmongWarmOnes(t *testing.T) {
 	r, members := newCold(1, 2, "north", "south")
 	load(r, members, 800, time.Second)
@@ -68,7 +69,7 @@
 	warm := r.Now()
 	later := load(r, members, 800, 2*time.Second)
 	r.Run(time.Second)
-	// What began before the server said that it is cold is not the node's to undo.
+	// Requests that started before the server announced that it is cold don't count.
 	if got := mostWhileCold(cold, from); got > coldBound {
 		t.Errorf("%d requests reached the cold server in one second, want at most %d", got, coldBound)
 	}
@@ -76,7 +77,7 @@
 		t.Errorf("the cold server crashed %d times", cold.Backend.Crashes)
 	}
 	if got := answeredPart(sent); got < 0.97 {
-		t.Errorf("%.3f answered while a server of four was cold, want 0.97", got)
+		t.Errorf("%.3f answered while one server of four was cold, want 0.97", got)
 	}
 	if got := answeredPart(later); got < 0.99 {
 		t.Errorf("%.3f answered once all were warm, want 0.99", got)
@@ -88,12 +89,13 @@
 		}
 	}
 	if served < 100 {
-		t.Errorf("the server got %d of 800 requests once it was warm, want its share", served)
+		t.Errorf("the server received %d of 800 requests from one second after it was warm on, want at least 100", served)
 	}
 }
 
-// Guards against a service whose servers all come back cold at once, get the whole
-// demand, crash and come back cold for as long as the demand lasts.
+// Guards against a crash loop after a power loss: all servers of a service return
+// cold at the same time, receive the full demand, crash and return cold again for
+// as long as the demand lasts.
 func TestServiceIsBackSoonAfterLossOfPower(t *testing.T) {
 	for seed := range uint64(3) {
 		r, members := newCold(seed, 2, "north", "south")
@@ -118,21 +120,22 @@
 			}
 		}
 		if got := answeredPart(after); got < 0.98 {
-			t.Errorf("seed %d: %.3f answered from a second after the cold time on, want 0.98", seed, got)
+			t.Errorf("seed %d: %.3f answered from one second after the cold time on, want 0.98", seed, got)
 		}
 		for _, o := range during {
 			if !o.Done {
-				t.Fatalf("seed %d: a request has no final answer", seed)
+				t.Fatalf("seed %d: a request has not ended", seed)
 			}
 			late := o.Ended - o.Sent
 			if o.Refusal != nil && late > 500*time.Millisecond {
-				t.Fatalf("seed %d: refused after %v, want at once: %v", seed, late, o.Refusal)
+				t.Fatalf("seed %d: refused after %v, want within 500 ms: %v", seed, late, o.Refusal)
 			}
 		}
 	}
 }
 
-// mostWhileCold is like MostStarts for the cold time that began at from.
+// maxStartsWhileCold returns the highest number of requests that reached the server
+// in any second of the cold period that began at from.
 func mostWhileCold(m *nodetest.Member, from time.Duration) int {
 	cold := nodetest.Backend{}
 	for _, run := range m.Backend.Runs {
@@ -143,8 +146,9 @@
 	return cold.MostStarts(from)
 }
 
-// Guards against a server that has crashed and come back before it has said so: the
-// requests that it breaks off all at once tell.
+// Guards against a crash of a server that has restarted and not announced yet that
+// it is cold. Its node must infer the restart from the requests that all fail at
+// the same time.
 func TestServerThatRestartsUnannouncedCountsAsCold(t *testing.T) {
 	r, members := newCold(1, 2, "north")
 	load(r, members, 600, time.Second)
@@ -159,7 +163,8 @@
 	}
 }
 
-// Guards against a warm server that is held for cold: what it breaks off is chance.
+// Guards against a warm server that is treated as cold because requests on it fail
+// at random: half of them fail here, but not all at the same time.
 func TestServerThatBreaksOffAtRandomStaysWarm(t *testing.T) {
 	r, members := newCold(1, 1, "north")
 	m := members[0]
@@ -180,8 +185,10 @@
 	return o
 }
 
-// Guards against work for a failure domain that an operator has emptied, be it new,
-// repeated or queued, and against losing callers of its nodes.
+// Guards against requests, whether new, retried or queued, being sent to the servers
+// of a failure domain that an operator has taken out of service, and against failing the requests that callers
+// send to its nodes. When the domain returns, its servers are cold and must not
+// receive more than their cold rate allows.
 func TestDomainOutOfServiceGetsNoWork(t *testing.T) {
 	r, members := newCold(1, 2, "north", "south", "west")
 	load(r, members, 600, time.Second)
@@ -211,13 +218,14 @@
 			continue
 		}
 		if got := m.Backend.MostStarts(restored); got == 0 || got > coldBound || m.Backend.Crashes > 0 {
-			t.Errorf("%s: %d requests in one second and %d crashes after its domain came back cold, want some and at most %d, no crash",
+			t.Errorf("%s: %d requests in one second and %d crashes after its domain returned cold, want some and at most %d, no crash",
 				m.Instance.ID, got, m.Backend.Crashes, coldBound)
 		}
 	}
 }
 
-// Guards against requests that reach a server of an emptied domain from its queue.
+// Guards against queued requests that are dispatched to a server after its domain
+// was taken out of service.
 func TestDomainOutOfServiceEmptiesItsQueues(t *testing.T) {
 	r, members := newRouted(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north", "south")
 	for _, m := range members {
@@ -233,17 +241,18 @@
 	before := len(members[0].Backend.Runs)
 	r.Run(3 * time.Second)
 	if got := len(members[0].Backend.Runs); got != before {
-		t.Errorf("%d requests reached the server after its domain was emptied", got-before)
+		t.Errorf("%d requests reached the server after its domain was taken out of service", got-before)
 	}
 	for i, o := range sent {
 		if !o.Done {
-			t.Errorf("request %d has no final answer", i)
+			t.Errorf("request %d has not ended", i)
 		}
 	}
 }
 
-// Guards against a restarted node that remembers nothing and sends work to an emptied
-// domain, and against a late word of an older state.
+// Guards against a restarted node that sends requests to a domain out of service
+// because it has lost its state, and against a delayed older version of the state
+// replacing the newer one.
 func TestRestartedNodeLearnsWhichDomainsAreOut(t *testing.T) {
 	r, members := newCold(1, 2, "north", "south")
 	members[1].ReadDomains(outOfService(9, "south"))
@@ -261,7 +270,8 @@
 	}
 }
 
-// Guards against requests that hang or run where nothing is to run.
+// Guards against requests that hang or run while all failure domains are out of
+// service.
 func TestAllDomainsOutOfService(t *testing.T) {
 	r, members := newCold(1, 1, "north", "south")
 	members[0].ReadDomains(outOfService(3, "north", "south", "nowhere"))
@@ -270,7 +280,7 @@
 	o := get(members[1])
 	r.Run(time.Second)
 	if o.Refusal == nil || o.Refusal.Execution != coltsfootward.ExecutionNotRun || o.Refusal.RetryAfter <= 0 {
-		t.Errorf("got %+v, want a refusal that says not run and when to come back", o)
+		t.Errorf("got %+v, want a refusal as not run with a retry time", o)
 	}
 	for _, m := range members {
 		if m.Backend.MostStarts(from) > 0 {
@@ -279,9 +289,9 @@
 	}
 }
 
-// Guards against requests that go to a cold server first, because the warm ones are
-// full, only to be refused there, and against its node's word that the whole service
-// has no room.
+// Guards against requests being routed to a cold server because the warm ones are
+// saturated, only to be refused there, and against the whole service being treated
+// as saturated because the cold server's node reports that it has no capacity.
 func TestColdServerIsSparedUnderOverload(t *testing.T) {
 	r, members := newCold(1, 2, "north", "south")
 	load(r, members, 1000, 2*time.Second)
@@ -299,15 +309,15 @@
 		}
 	}
 	if refused > len(sent)/50 {
-		t.Errorf("%d of %d requests were refused by the cold server's node, want hardly any", refused, len(sent))
+		t.Errorf("%d of %d requests were refused by the cold server's node, want at most one in fifty", refused, len(sent))
 	}
 	if got, want := answeredPart(sent), 0.85*capacity/demand; got < want {
-		t.Errorf("%.3f answered, want %.3f: most of what the warm servers have room for", got, want)
+		t.Errorf("%.3f answered, want %.3f: most of the warm servers' capacity", got, want)
 	}
 }
 
-// Guards against a service without a cold rate that is refused nearly everything while
-// its servers are merely slow after their start.
+// Guards against nearly all requests being refused for a service without a cold
+// rate, because its servers report a cold period after their start.
 func TestSlowServersOfAServiceWithoutColdRateServe(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 100000, Burst: 100000}, "quotes")
 	r, members := newRouted(1, 2, document, "north", "south")
--- a/core/nodetest/evidence_test.go
+++ b/core/nodetest/evidence_test.go
@@ -10,8 +10,9 @@
 	"coltsfootward/core/record"
 )
 
-// lacking returns the fields that the refusals of that code and kind lack, those of
-// the one that lacks least, and whether there is one.
+// missingFields looks at all records with the given code and kind of refusal and
+// returns the field names that the most complete of them lacks. The result is false
+// if there is no such record.
 func lacking(members []*nodetest.Member, code record.Code, kind coltsfootward.RefusalKind, names ...string) ([]string, bool) {
 	var least []string
 	seen := false
@@ -39,7 +40,7 @@
 	return least, seen
 }
 
-// Guards against refusals whose cause cannot be told from the log.
+// Guards against refusals whose cause cannot be determined from the log.
 func TestRefusalsSayWhatDecidedThem(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -87,16 +88,16 @@
 			r.Run(3 * time.Second)
 			missing, ok := lacking(members, test.code, test.kind, test.want...)
 			if !ok {
-				t.Fatalf("no refusal as %s was reported", test.kind)
+				t.Fatalf("no refusal of kind %s was reported", test.kind)
 			}
 			if len(missing) > 0 {
-				t.Errorf("the refusal lacks %v", missing)
+				t.Errorf("the record of the refusal lacks the fields %v", missing)
 			}
 		})
 	}
 }
 
-// Guards against refusals that don't tell that servers were cold.
+// Guards against records of refusals that don't mention that servers were cold.
 func TestRefusalsSayThatServersAreCold(t *testing.T) {
 	r, members := newCold(1, 2, "north", "south")
 	load(r, members, 1000, time.Second)
@@ -107,24 +108,25 @@
 	for code, kind := range map[record.Code]string{record.RequestRefused: "at the entry", record.CallRefused: "at the server's node"} {
 		missing, ok := lacking(members, code, coltsfootward.RefusalOverloaded, "cold")
 		if !ok || len(missing) > 0 {
-			t.Errorf("%s: refusals lack %v, seen %v", kind, missing, ok)
+			t.Errorf("%s: records of refusals lack the fields %v, seen %v", kind, missing, ok)
 		}
 	}
 	passed, refused := 0, 0
 	for _, m := range members {
 		cold := m.Node().Cold()
 		if cold.Remaining <= 0 || cold.Remaining > coldTime {
-			t.Errorf("%s: cold for another %v, want up to %v", m.Instance.ID, cold.Remaining, coldTime)
+			t.Errorf("%s: remaining cold time %v, want more than zero and at most %v", m.Instance.ID, cold.Remaining, coldTime)
 		}
 		passed += cold.Passed
 		refused += cold.Refused
 	}
 	if passed == 0 || refused == 0 {
-		t.Errorf("cold servers got %d requests and were spared %d, want some of both", passed, refused)
+		t.Errorf("nodes of cold servers admitted %d requests and refused %d, want some of both", passed, refused)
 	}
 }
 
-// Guards against "no backend server takes work" that doesn't name the operators' doing.
+// Guards against a refusal for want of an upstream whose record doesn't mention that
+// operators have taken domains out of service.
 func TestRefusalsNameDomainsOutOfService(t *testing.T) {
 	r, members := newCold(1, 1, "north", "south")
 	members[0].ReadDomains(outOfService(3, "north", "south"))
@@ -132,6 +134,6 @@
 	get(members[1])
 	r.Run(time.Second)
 	if missing, ok := lacking(members, record.RequestRefused, coltsfootward.RefusalNoUpstream, "out_of_service"); !ok || len(missing) > 0 {
-		t.Errorf("the refusal lacks %v, seen %v", missing, ok)
+		t.Errorf("the record of the refusal lacks the fields %v, seen %v", missing, ok)
 	}
 }
--- a/core/nodetest/holder_test.go
+++ b/core/nodetest/holder_test.go
@@ -10,11 +10,12 @@
 	"coltsfootward/core/nodetest"
 )
 
-// A domain is cut off and refuses half of its organisations as above their
-// rate, though its own parts of the rates are full. As its nodes started, slots
-// moved from the first of them to the others. A node that looked after a slot
-// then, and no more, still believed the record it had seen: it asked the old
-// holder, was told the new one, and asked the old one again.
+// Guards against a partitioned domain refusing half of its organisations as over
+// their rate, although the domain's own parts of the rates have tokens. While the
+// domain's nodes start, slots move from the first node to the others. A node that
+// watched a slot during that time and no longer does must not trust the record that
+// it read then. Otherwise it requests tokens from the old holder, is referred to
+// the new holder, and returns to the old one.
 func TestCutOffDomainDrawsFromItsOwnHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		r := nodetest.New(seed)
--- a/core/nodetest/link.go
+++ b/core/nodetest/link.go
@@ -14,7 +14,7 @@
 	return slices.Sorted(maps.Keys(entries))
 }
 
-// perform carries out one action of the node's machine.
+// perform carries out one action of the node's state machine.
 func (m *Member) perform(action node.Action) {
 	switch a := action.(type) {
 	case node.Forward:
@@ -64,7 +64,7 @@
 	})
 }
 
-// forward carries a call to its target's node.
+// forward starts an attempt: it sends a call to the node of its target.
 func (m *Member) forward(a node.Forward) {
 	e, ok := m.entries[a.Call]
 	if !ok {
@@ -97,7 +97,8 @@
 	})
 }
 
-// later runs f after the link's delay; a nil member counts as reached at once.
+// afterLinkDelay runs f after the one-way delay of the link to the given member,
+// or after DefaultDelay if the member is nil.
 func (m *Member) later(to *Member, f func()) {
 	if to == nil {
 		m.rig.After(DefaultDelay, f)
@@ -106,8 +107,8 @@
 	m.rig.After(m.rig.delay(m.Instance, to.Instance), f)
 }
 
-// back runs f at the call's origin after the link's delay. If the link is cut,
-// the origin sees the connection break instead.
+// sendBack runs f after the delay of the link to the call's origin. If the link
+// is partitioned, the origin observes a broken connection instead.
 func (m *Member) back(s *served, f func()) {
 	if !m.rig.connected(m.Instance.ID, s.origin.Instance.ID) {
 		m.breakCall(s)
@@ -132,7 +133,8 @@
 	m.event(func() node.Event { return ended })
 }
 
-// refuse carries a refusal to the caller or back to the entry node.
+// refuse delivers a refusal to the caller, or to the entry node if a peer sent
+// the call.
 func (m *Member) refuse(a node.Refuse) {
 	if e, ok := m.entries[a.Call]; ok {
 		delete(m.entries, a.Call)
@@ -155,7 +157,7 @@
 	})
 }
 
-// replay brings a kept answer to the caller.
+// replay delivers a retained response to the caller.
 func (m *Member) replay(a node.Replay) {
 	e, ok := m.entries[a.Call]
 	if !ok {
@@ -170,7 +172,7 @@
 	})
 }
 
-// answered carries a whole answer back to the caller.
+// respond sends a complete response back to the entry node and its caller.
 func (m *Member) answered(a node.EndResponse) {
 	s, ok := m.serving[a.Call]
 	if !ok {
@@ -202,7 +204,7 @@
 	})
 }
 
-// leaveRemote tells the target's node that nobody waits for the call any more.
+// cancelRemote notifies the target's node that nobody waits for the call any more.
 func (m *Member) leaveRemote(e *entry) {
 	to, remote := e.target, e.remote
 	e.target = nil
--- a/core/nodetest/member.go
+++ b/core/nodetest/member.go
@@ -12,13 +12,13 @@
 
 // Member is one node of a rig with its backend server.
 type Member struct {
-	// Instance says which node it is; the incarnation grows with each restart.
+	// Instance identifies the node. Its incarnation increases with each restart.
 	Instance coltsfootward.Instance
 	// Backend is the fake backend server beside the node.
 	Backend *Backend
-	// Records holds what the node reported.
+	// Records holds the log and timeline records that the node reported.
 	Records []record.Record
-	// Drained is set once the node said that nothing is left to do.
+	// Drained is set once the node has reported that it has no work left.
 	Drained bool
 
 	rig     *Rig
@@ -28,67 +28,73 @@
 	booted  time.Duration
 	alive   bool
 	paused  bool
-	// frozen is how long the monotonic clock stood still.
+	// clockStopped is the total time for which the monotonic clock stood still.
 	frozen    time.Duration
 	suspended bool
 	pausedAt  time.Duration
-	// held are the events that arrived during a pause.
+	// deferred delivers the events that arrived during a pause, in their order.
 	held    []func()
 	nextID  node.CallID
 	entries map[node.CallID]*entry
 	serving map[node.CallID]*served
 }
 
-// entry is a request at the node that its caller reached.
+// entryRequest is a pending request at its entry node.
 type entry struct {
 	outcome *Outcome
-	// attempt counts forwards, so that news of an old one is told apart.
+	// attempt is the number of the latest attempt; reports about an earlier
+	// attempt are ignored.
 	attempt int
 	target  *Member
 	remote  node.CallID
 }
 
-// served is a call that another node sent here.
+// peerCall is a call that an entry node forwarded to this node.
 type served struct {
 	origin  *Member
 	call    node.CallID
 	attempt int
 	head    node.PeerCallArrived
-	// status is what its backend server answers.
+	// status is the HTTP status of the backend server's response.
 	status int
 }
 
-// Request is what a caller sends.
+// Request is a request of a caller or of a backend server.
 type Request struct {
 	Key            coltsfootward.KeyDigest
 	Service        coltsfootward.ServiceName
 	Method         string
 	Path           string
 	IdempotencyKey string
-	// Body stands for the request's body.
+	// Body is a digest that stands for the request's body.
 	Body    uint64
 	Attempt int
 	Timeout time.Duration
-	// Token is set for calls of a backend server.
+	// Token is set for child calls of a backend server.
 	Token node.CallToken
-	// Host has the request routed by host and path; Service is left empty then.
+	// Host, if set, makes the node route the request by host and path. Service is
+	// empty then.
 	Host string
 }
 
-// Outcome is what became of a request. It fills in as time passes.
+// Outcome is the outcome of a request. Its fields are set as the virtual time
+// advances.
 type Outcome struct {
-	// Done is set once the caller has its final answer.
+	// Done is set once the request has ended: by a response, by a refusal, by the
+	// caller's cancellation or by the death of the entry node.
 	Done bool
-	// Answered is set if a backend server answered whole, with Status.
+	// Answered is set if the caller received a complete response. Status is the
+	// response's HTTP status; a replayed response leaves it zero.
 	Answered bool
 	Status   int
-	// Replayed is set if the answer is that of an earlier request with its key.
+	// Replayed is set if the response is the retained one of an earlier request
+	// with the same idempotency key.
 	Replayed bool
 	// Refusal is set if the request was refused.
 	Refusal *coltsfootward.Refusal
-	// Sent and Ended are times of the rig.
+	// Sent and Ended are virtual times, as returned by Rig.Now.
 	Sent, Ended time.Duration
-	// By is the instance whose backend server answered.
+	// By is the instance whose backend server produced the response.
 	By coltsfootward.InstanceID
 	// Attempts is how many times the entry node forwarded the request.
 	Attempts int
@@ -104,10 +110,10 @@
 	return m
 }
 
-// Node returns the machine, to be looked at.
+// Node returns the node's state machine for inspection.
 func (m *Member) Node() *node.Node { return m.machine }
 
-// Alive reports whether the node runs; a paused node does.
+// Alive reports whether the node runs. A paused node counts as alive.
 func (m *Member) Alive() bool { return m.alive }
 
 // Paused reports whether the node is paused or suspended.
@@ -151,8 +157,9 @@
 	}
 }
 
-// event delivers an event unless the node is dead; a paused node gets it at
-// the end of its pause, with the time of then.
+// deliver passes an event to the node unless the node is dead. A paused node
+// receives the event at the end of its pause; build runs only then, so that the
+// event carries the age that it has by that time.
 func (m *Member) event(build func() node.Event) {
 	if !m.alive {
 		return
@@ -170,20 +177,20 @@
 	}
 }
 
-// Pause stops the node between two events, as a scheduler or SIGSTOP would.
+// Pause stops the node between two events, as descheduling or SIGSTOP does.
 func (m *Member) Pause() {
 	m.paused = true
 	m.pausedAt = m.rig.now
 }
 
-// Suspend pauses the node and stops its monotonic clock, as a suspended
-// machine would.
+// Suspend pauses the node and stops its monotonic clock, as the suspension of a
+// virtual machine does.
 func (m *Member) Suspend() {
 	m.Pause()
 	m.suspended = true
 }
 
-// Resume ends a pause; what arrived meanwhile is handled now.
+// Resume ends a pause. The events that arrived during it are handled now.
 func (m *Member) Resume() {
 	if m.suspended {
 		m.frozen += m.rig.now - m.pausedAt
@@ -199,7 +206,7 @@
 	}
 }
 
-// Kill ends the node at once. Its backend server goes with it.
+// Kill stops the node at once, and its backend server with it.
 func (m *Member) Kill() {
 	m.alive = false
 	m.paused = false
@@ -224,20 +231,22 @@
 	}
 }
 
-// Restart boots a killed node anew, with a higher incarnation and no memory.
+// Restart starts a killed node again with a higher incarnation and without any
+// state of the previous run.
 func (m *Member) Restart() {
 	m.boot()
 }
 
-// Announce tells the node what its backend server offers.
+// Announce delivers a heartbeat of the backend server: its service and its number
+// of slots.
 func (m *Member) Announce(service coltsfootward.ServiceName, slots int) {
 	m.Backend.service = service
 	m.Backend.Slots = slots
 	m.event(func() node.Event { return node.BackendAnnounced{Service: service, Slots: slots} })
 }
 
-// AnnounceCold tells the node what its backend server offers, and that it is cold
-// for that long.
+// AnnounceCold makes the backend server cold for the given time and delivers a
+// heartbeat that reports the remaining cold time with the service and the slots.
 func (m *Member) AnnounceCold(service coltsfootward.ServiceName, slots int, cold time.Duration) {
 	m.Backend.service = service
 	m.Backend.Slots = slots
@@ -245,29 +254,32 @@
 	m.event(func() node.Event { return node.BackendAnnounced{Service: service, Slots: slots, Cold: cold} })
 }
 
-// ReadDomains tells the node which failure domains are out of service.
+// ReadDomains delivers the failure domains out of service, as read from the
+// platform.
 func (m *Member) ReadDomains(o coltsfootward.OutOfService) {
 	m.event(func() node.Event { return node.DomainsRead{OutOfService: o} })
 }
 
-// Read tells the node of a configuration document that the platform stores.
+// Read delivers a configuration document, as read from the platform.
 func (m *Member) Read(c coltsfootward.Configuration) {
 	m.event(func() node.Event { return node.ConfigurationRead{Configuration: c} })
 }
 
-// DrainBackend tells the node that its backend server takes no new work.
+// DrainBackend delivers a heartbeat that reports that the backend server is
+// draining and accepts no new requests.
 func (m *Member) DrainBackend() {
 	m.event(func() node.Event {
 		return node.BackendAnnounced{Service: m.Backend.service, Slots: m.Backend.Slots, Draining: true}
 	})
 }
 
-// Drain asks the node to leave gracefully.
+// Drain requests a graceful shutdown of the node.
 func (m *Member) Drain() {
 	m.event(func() node.Event { return node.DrainRequested{} })
 }
 
-// Send sends a request to this node.
+// Send sends a request to this node. On a dead node the request ends at once,
+// without a response or a refusal.
 func (m *Member) Send(request Request) *Outcome {
 	o := &Outcome{Sent: m.rig.Now(), member: m}
 	if !m.alive {
@@ -295,11 +307,12 @@
 	return o
 }
 
-// Served reports whether a backend server answered with success.
+// Served reports whether the caller received a complete response with a status
+// below 500.
 func (o *Outcome) Served() bool { return o.Answered && o.Status < http.StatusInternalServerError }
 
-// OnDone runs f once the caller has its final answer; at once if it has it
-// already. A later call replaces f.
+// OnDone runs f once the request has ended, or immediately if it has already
+// ended. A later call replaces f.
 func (o *Outcome) OnDone(f func()) {
 	if o.Done {
 		f()
@@ -308,7 +321,7 @@
 	o.notify = f
 }
 
-// Leave makes the caller of a request give up on it.
+// Leave cancels the request as its caller does by disconnecting.
 func (o *Outcome) Leave() {
 	m := o.member
 	e, ok := m.entries[o.call]
--- a/core/nodetest/outage_test.go
+++ b/core/nodetest/outage_test.go
@@ -8,9 +8,10 @@
 	"coltsfootward/core/nodetest"
 )
 
-// The platform fails over and does not answer for three quarters of a minute.
-// Callers notice nothing: the slots' holders go on within their terms. With a
-// term of 20 s every request was refused as above the rate from then on.
+// Guards against requests being refused while the platform fails over and does not
+// respond for 45 s. The slots' holders must continue within their lease terms. With
+// a lease term of 20 s, every request was refused as over the rate once the terms
+// had expired.
 func TestOutageWithinTheTermRefusesNobody(t *testing.T) {
 	r, north, _ := newPair(11)
 	r.Run(30 * time.Second)
@@ -29,9 +30,11 @@
 	}
 }
 
-// The platform is away for an hour. Once the terms have passed no organisation
-// gets more than its rate, and callers are told so at once; when the platform
-// is back, they are served again within a minute.
+// Guards against requests that hang during a long outage of the platform, and
+// against slow recovery from it. The platform is unavailable for an hour. Once
+// all lease terms have expired, no node may grant tokens, because the rates could be
+// exceeded; requests must be refused at once as not run. Within a minute of the
+// platform's return, requests must be answered again.
 func TestLongOutageIsRecoveredFrom(t *testing.T) {
 	r, north, _ := newPair(12)
 	r.Run(30 * time.Second)
--- a/core/nodetest/promises_test.go
+++ b/core/nodetest/promises_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// promisesBudget bounds the attempts of one request over the chain.
+	// attemptBudget is the attempt budget of one request over all services.
 	promisesBudget = 5
-	// promisesTimeout is what each caller allows.
+	// callerTimeout is the timeout of each request.
 	promisesTimeout = 2 * time.Second
-	// promisesTerm is short, so that slots change hands under the faults.
+	// leaseTerm is short, so that slots change their holders during the faults.
 	promisesTerm = 10 * time.Second
-	// trouble is how long faults come and go.
+	// faultPeriod is the time during which faults are injected.
 	trouble = 40 * time.Second
 )
 
-// tenant is an organisation of the promises' world.
+// tenant is an organisation with its key and its rate.
 type tenant struct {
 	name coltsfootward.OrganisationName
 	key  coltsfootward.KeyDigest
@@ -37,7 +37,7 @@
 	{"crews", "key-crews", coltsfootward.Rate{PerSecond: 10, Burst: 4}},
 }
 
-// sentRequest is one request and whom it was for.
+// sentRequest is a request that was sent, with its organisation and its outcome.
 type sentRequest struct {
 	path    string
 	tenant  tenant
@@ -45,7 +45,8 @@
 	outcome *nodetest.Outcome
 }
 
-// world is three failure domains with a chain of services and random faults.
+// deployment is a rig with three failure domains, a chain of services and random
+// faults.
 type world struct {
 	rig     *nodetest.Rig
 	members []*nodetest.Member
@@ -53,7 +54,7 @@
 	faults  []string
 }
 
-// services says what each instance of a domain serves.
+// services lists the service of each instance of a domain.
 var services = []coltsfootward.ServiceName{"front", "middle", "orders", "front"}
 
 func newWorld(seed uint64) *world {
@@ -89,7 +90,7 @@
 	m.Announce(service, 4)
 }
 
-// send sends one request to a random node that runs.
+// send sends one request to a random node, dead or alive.
 func (w *world) send(t tenant, service coltsfootward.ServiceName, order string) {
 	m := w.members[w.rig.Source().IntN(len(w.members))]
 	path := fmt.Sprintf("/%d", len(w.sent))
@@ -103,7 +104,9 @@
 	w.sent = append(w.sent, sentRequest{path: path, tenant: t, order: order, outcome: m.Send(request)})
 }
 
-// load keeps callers sending for d, at about twice the smaller rates.
+// scheduleLoad schedules one request or order every 10 ms for d, each for a random
+// organisation. Each organisation sends about 40 requests a second with its repeated
+// orders, which is at least twice the two smaller rates.
 func (w *world) load(d time.Duration) {
 	const interval = 10 * time.Millisecond
 	for elapsed := time.Duration(0); elapsed < d; elapsed += interval {
@@ -119,15 +122,16 @@
 	}
 }
 
-// order sends an unrepeatable request, and its repeat soon after through
-// another node, as a caller that had no answer would.
+// order sends an unrepeatable request and repeats it within 3 s through a random
+// node, as a caller does that has received no response.
 func (w *world) order(t tenant) {
 	order := fmt.Sprintf("%s-order-%d", t.name, len(w.sent))
 	w.send(t, "orders", order)
 	w.rig.After(time.Duration(w.rig.Source().Int64N(int64(3*time.Second))), func() { w.send(t, "orders", order) })
 }
 
-// disturb plans faults at random times within d, each with its end.
+// scheduleFaults schedules one fault a second for d, at a random time within the
+// second.
 func (w *world) disturb(d time.Duration) {
 	for at := 500 * time.Millisecond; at < d; at += time.Second {
 		w.rig.After(at+time.Duration(w.rig.Source().Int64N(int64(time.Second))), w.fault)
@@ -191,7 +195,7 @@
 	w.faults = append(w.faults, fmt.Sprintf("%v %s", w.rig.Now(), text))
 }
 
-// runsByPath returns every run of a backend server by the request's path.
+// runsByPath returns the runs on all backend servers, grouped by the request's path.
 func (w *world) runsByPath() map[string][]*nodetest.Run {
 	runs := make(map[string][]*nodetest.Run)
 	for _, m := range w.members {
@@ -202,8 +206,9 @@
 	return runs
 }
 
-// checkServed makes sure that the promises were not kept by refusing all: of
-// requests and of orders a good part must have been answered under the faults.
+// checkServed verifies that the guarantees were not met by refusing everything: a
+// third of all requests and a fifth of the orders must have been answered despite
+// the faults.
 func (w *world) checkServed(t *testing.T) {
 	var sent, answered, orders, ordered int
 	for _, s := range w.sent {
@@ -218,19 +223,20 @@
 			}
 		}
 	}
-	t.Logf("answered %d of %d requests, %d of %d orders and their repeats among them", answered, sent, ordered, orders)
+	t.Logf("answered %d of %d requests, among them %d of %d orders (repeated requests included)", answered, sent, ordered, orders)
 	if answered < sent/3 || ordered < orders/5 {
 		t.Errorf("got %d of %d requests and %d of %d orders answered, want a third and a fifth", answered, sent, ordered, orders)
 	}
 }
 
-// checkRequests holds every request's runs against what its caller was told.
+// checkRequests compares the runs of every request with the outcome that its caller
+// received.
 func (w *world) checkRequests(t *testing.T) {
 	runs := w.runsByPath()
 	told := make(map[string]bool)
 	for _, s := range w.sent {
 		if !s.outcome.Done {
-			t.Errorf("%s: got no final answer, want one", s.path)
+			t.Errorf("%s: has not ended", s.path)
 		}
 		ran := s.outcome.Refusal == nil || s.outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
 		told[s.path] = told[s.path] || ran
@@ -248,13 +254,14 @@
 	}
 	for path, found := range runs {
 		if len(found) > 0 && !told[path] {
-			t.Errorf("%s: ran %d times and was told not_run", path, len(found))
+			t.Errorf("%s: ran %d times, but the caller was told not_run", path, len(found))
 		}
 	}
 }
 
-// checkRates holds what started for each organisation against its rate and
-// burst over every window. Calls that a request makes are paid for by it.
+// checkRates verifies that the root requests that started for each organisation stay
+// within its rate and burst over every time window. Child calls don't count, because
+// the root request's token covers them.
 func (w *world) checkRates(t *testing.T) {
 	for _, tenant := range tenants {
 		var began []time.Duration
@@ -266,24 +273,25 @@
 			}
 		}
 		sort.Slice(began, func(i, j int) bool { return began[i] < began[j] })
-		// The bucket that would just allow all starts: its debt at each start
-		// is the largest excess of any window that ends there.
+		// A token bucket that always admits a start: its debt after each start is
+		// the largest excess over the rate in any time window that ends there.
 		level, last := 0.0, time.Duration(0)
 		for _, at := range began {
 			level = max(level-tenant.rate.PerSecond*(at-last).Seconds(), 0) + 1
 			last = at
 			if level > float64(tenant.rate.Burst)+1e-6 {
-				t.Errorf("%s: got %.2f starts above the rate at %v, want at most the burst of %d", tenant.name, level, at, tenant.rate.Burst)
+				t.Errorf("%s: got %.2f starts over the rate at %v, want at most the burst of %d", tenant.name, level, at, tenant.rate.Burst)
 				return
 			}
 		}
 	}
 }
 
-// Callers see some promise broken only when faults meet: a node is paused while
-// its domain is cut, killed while answers of the table are lost. Faults of every
-// kind come at random, several at a time, under load and repeats. Afterwards
-// every promise is held against what the backend servers saw.
+// Guards against guarantees that are broken only when faults coincide, for example
+// when a node is paused while its domain is partitioned, or killed while responses
+// of the table are lost. Faults of every kind are injected at random, several at a
+// time, under load and with repeated requests. Afterwards every guarantee is checked
+// against the runs on the backend servers.
 func TestPromisesUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -306,7 +314,8 @@
 	}
 }
 
-// checkRecovered sends a calm load once the faults are over.
+// checkRecovered sends a light load after the faults and requires that every request
+// is answered.
 func (w *world) checkRecovered(t *testing.T) {
 	first := len(w.sent)
 	for range 20 {
@@ -321,7 +330,7 @@
 	}
 }
 
-// checkWithdrawal withdraws a key and tries it at every node seconds later.
+// checkWithdrawal withdraws a key and verifies 5 s later that every node refuses it.
 func (w *world) checkWithdrawal(t *testing.T) {
 	withdrawn := tenants[1]
 	w.rig.Submit(coltsfootward.Change{Key: &coltsfootward.Key{
--- a/core/nodetest/renewal_test.go
+++ b/core/nodetest/renewal_test.go
@@ -10,10 +10,11 @@
 	"coltsfootward/core/nodetest"
 )
 
-// An organisation with a rate of 1,000 a second and a burst of 200 sends forty
-// slow requests at once. Two are answered and the others refused, though their
-// callers would wait for seconds: the tokens that they came with last 50 ms, and
-// the first two hold the slots for twice as long.
+// Guards against queued requests being refused because their tokens expire. An
+// organisation with a rate of 1,000 requests a second and a burst of 200 sends forty
+// slow requests at once. The tokens have a lifetime of 50 ms, and the first two
+// requests occupy the slots for twice as long. Without renewal of the tokens only
+// these two would be answered, although the callers' timeouts are seconds.
 func TestQueueIsLongerThanATokenLives(t *testing.T) {
 	r := nodetest.New(3)
 	domains := []coltsfootward.FailureDomain{"north", "south"}
@@ -36,20 +37,21 @@
 	answered := 0
 	for _, o := range outcomes {
 		if !o.Done {
-			t.Errorf("got no final answer for %+v, want one", o)
+			t.Errorf("%+v: has not ended", o)
 		}
 		if o.Answered {
 			answered++
 		}
 	}
-	// Two at once, and a queue of five times the slots.
+	// Two requests run at once, and the queue holds five times as many as the slots.
 	if answered < 12 {
-		t.Errorf("got %d of 40 answered, want the slots and the queue's ten at least", answered)
+		t.Errorf("got %d of 40 answered, want at least 12: two in the slots and ten in the queue", answered)
 	}
 }
 
-// A caller leaves while its request holds a slot and waits for a new token. The
-// slot must come free, or the backend server is lost bit by bit.
+// Guards against a slot leak: a caller cancels its request while the request holds a
+// slot and waits for a new token. If the slot were not released, the backend server
+// would lose its capacity slot by slot.
 func TestCallerLeavesDuringRenewal(t *testing.T) {
 	r, north, south := newPair(4)
 	south.Backend.ServiceTime = func(message.Call) time.Duration { return time.Second }
--- a/core/nodetest/rig.go
+++ b/core/nodetest/rig.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// start is the rig's time at its beginning; not zero, so that a part that
-	// forgets to initialise a time shows it.
+	// initialTime is the virtual time at which a rig starts. It is not zero, so
+	// that code that fails to initialise a time is noticed.
 	start = time.Hour
-	// wallStart is the wall clocks' reading at the rig's time zero, as a Unix time.
+	// wallStart is the Unix time, in seconds, that the wall clocks show at the
+	// virtual time zero.
 	wallStart = 1_800_000_000
 	// DefaultDelay is the one-way delay of a link.
 	DefaultDelay = 500 * time.Microsecond
-	// breakDelay is how long a sender takes to notice that a link is cut.
+	// breakDetectionDelay is the time after which a sender notices that a link is
+	// partitioned.
 	breakDelay = 200 * time.Millisecond
 )
 
-// Rig holds nodes, links and the table. Create it with New. It is not safe for
-// concurrent use.
+// Rig is a simulated deployment: nodes, the links between them and the
+// platform's table. Create it with New. It is not safe for concurrent use.
 type Rig struct {
-	// Table is the platform's table that all nodes share.
+	// Table is the fake of the platform's table, which all nodes share.
 	Table *Table
 	// Delay returns the one-way delay between two instances; nil means
 	// DefaultDelay.
@@ -44,7 +46,7 @@
 
 type link struct{ from, to coltsfootward.InstanceID }
 
-// New returns an empty rig. All random choices follow from seed.
+// New returns a rig without nodes. All random choices derive from seed.
 func New(seed uint64) *Rig {
 	r := &Rig{
 		source:  rand.New(rand.NewPCG(seed, seed)),
@@ -56,22 +58,22 @@
 	return r
 }
 
-// Now returns how long the rig has run.
+// Now returns the virtual time that has passed since the rig was created.
 func (r *Rig) Now() time.Duration { return r.now - start }
 
-// Wall returns what the nodes' wall clocks show.
+// Wall returns the current reading of the nodes' wall clocks.
 func (r *Rig) Wall() time.Time { return time.Unix(wallStart, 0).UTC().Add(r.now) }
 
 // Source returns the rig's random source.
 func (r *Rig) Source() *rand.Rand { return r.source }
 
-// After runs f once d has passed.
+// After schedules f to run after the virtual time d. A negative d counts as zero.
 func (r *Rig) After(d time.Duration, f func()) {
 	r.counter++
 	heap.Push(&r.queue, scheduled{at: r.now + max(d, 0), order: r.counter, run: f})
 }
 
-// Run lets d pass.
+// Run advances the virtual time by d and runs the events that fall due.
 func (r *Rig) Run(d time.Duration) {
 	end := r.now + d
 	for len(r.queue) > 0 && r.queue[0].at <= end {
@@ -82,8 +84,8 @@
 	r.now = end
 }
 
-// RunUntil lets time pass until done returns true, for at most limit. It
-// reports whether done became true.
+// RunUntil advances the virtual time in steps of one millisecond until done
+// returns true, for at most limit. It reports whether done returned true.
 func (r *Rig) RunUntil(limit time.Duration, done func() bool) bool {
 	end := r.now + limit
 	for !done() {
@@ -95,20 +97,20 @@
 	return true
 }
 
-// Cut drops everything between two instances, both ways.
+// Cut partitions the link between two instances in both directions.
 func (r *Rig) Cut(a, b coltsfootward.InstanceID) {
 	r.cut[link{a, b}] = true
 	r.cut[link{b, a}] = true
 }
 
-// Heal undoes Cut.
+// Heal restores the link between two instances in both directions.
 func (r *Rig) Heal(a, b coltsfootward.InstanceID) {
 	delete(r.cut, link{a, b})
 	delete(r.cut, link{b, a})
 }
 
-// CutDomain cuts a failure domain off from all others, and from the table too
-// if table is set.
+// CutDomain partitions a failure domain from all others, and from the table as
+// well if table is set.
 func (r *Rig) CutDomain(domain coltsfootward.FailureDomain, table bool) {
 	r.eachCrossing(domain, r.Cut)
 	if table {
@@ -116,7 +118,7 @@
 	}
 }
 
-// HealDomain undoes CutDomain.
+// HealDomain restores a failure domain's links to the others and to the table.
 func (r *Rig) HealDomain(domain coltsfootward.FailureDomain) {
 	r.eachCrossing(domain, r.Heal)
 	r.Table.setCut(domain, false)
@@ -132,7 +134,8 @@
 	}
 }
 
-// Members returns every node that was added, in the order of their names.
+// Members returns every node that was added, killed ones included, ordered by
+// instance ID.
 func (r *Rig) Members() []*Member {
 	var all []*Member
 	for _, id := range slices.Sorted(maps.Keys(r.members)) {
@@ -141,7 +144,8 @@
 	return all
 }
 
-// Submit stores a change at the next revision, past any operator's interface.
+// Submit writes changes to the table, each at the next revision, without going
+// through a node's operator interface.
 func (r *Rig) Submit(changes ...coltsfootward.Change) {
 	for _, change := range changes {
 		r.Table.submit(change)
@@ -162,14 +166,15 @@
 	return !r.cut[link{from, to}]
 }
 
-// scheduled is something that will happen.
+// scheduled is an event that runs at a given virtual time.
 type scheduled struct {
 	at    time.Duration
 	order uint64
 	run   func()
 }
 
-// eventQueue is a heap by time, then by the order of scheduling.
+// eventQueue is a heap of events, ordered by time and then by the order in which
+// they were scheduled.
 type eventQueue []scheduled
 
 func (q eventQueue) Len() int { return len(q) }
@@ -194,13 +199,13 @@
 	return last
 }
 
-// Instance returns an instance of that name in that domain, with addresses
-// that no other name shares.
+// Instance returns an instance with the given ID and domain. Its addresses
+// derive from the ID and are therefore unique.
 func Instance(id coltsfootward.InstanceID, domain coltsfootward.FailureDomain) coltsfootward.Instance {
 	return coltsfootward.Instance{ID: id, Domain: domain, Address: string(id) + ":1", OperatorAddress: string(id) + ":2", Incarnation: 1}
 }
 
-// Add starts a node. options.Self names it.
+// Add creates and starts the node that options.Self describes.
 func (r *Rig) Add(options node.Options) *Member {
 	m := newMember(r, options)
 	r.members[options.Self.ID] = m
--- a/core/nodetest/rig_test.go
+++ b/core/nodetest/rig_test.go
@@ -12,8 +12,8 @@
 
 const key = coltsfootward.KeyDigest("digest")
 
-// newPair returns a rig with two nodes in two failure domains and a backend
-// server of the service quotes beside the second.
+// newPair returns a rig with one node in each of two failure domains. The second
+// node has a backend server of the service quotes.
 func newPair(seed uint64) (*nodetest.Rig, *nodetest.Member, *nodetest.Member) {
 	r := nodetest.New(seed)
 	domains := []coltsfootward.FailureDomain{"north", "south"}
--- a/core/nodetest/routed_test.go
+++ b/core/nodetest/routed_test.go
@@ -13,8 +13,8 @@
 
 const routedHost = "quotes.example"
 
-// routedDocument returns a configuration with one route for each service, and
-// the organisation traders at that rate.
+// routedDocument returns a configuration with one route for each service and with
+// the organisation traders at the given rate.
 func routedDocument(revision coltsfootward.Revision, rate coltsfootward.Rate, services ...coltsfootward.ServiceName) coltsfootward.Configuration {
 	var routes []coltsfootward.Route
 	for _, service := range services {
@@ -29,8 +29,9 @@
 	return coltsfootward.NewConfiguration(revision, organisations, keys, nil).WithRoutes(routes)
 }
 
-// newRouted returns a rig with nodes nodes in each of the domains, each with a
-// backend server of quotes with four slots, and the document in force.
+// newRoutedRig returns a rig with the given number of nodes in each domain. Each node
+// has a backend server of the service quotes with four slots, and document is in
+// force.
 func newRouted(seed uint64, nodes int, document coltsfootward.Configuration, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
 	r := nodetest.New(seed)
 	var members []*nodetest.Member
@@ -63,9 +64,9 @@
 	}
 }
 
-// A node starts while the platform is away and learns the configuration from
-// its peers. It took only the parts of it that an own deployment has, without
-// the routes, and answered every request with 404.
+// Guards against a node that answers every request with 404 after a start during an
+// outage of the platform. The node receives the configuration from its peers and must
+// apply the routes as well as the other components.
 func TestNodeLearnsRoutesFromPeers(t *testing.T) {
 	r, members := newRouted(1, 2, routedDocument(7, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
 	late := members[1]
@@ -83,10 +84,10 @@
 	}
 }
 
-// A node that leaves still serves its callers for seconds. It gave up its slots of
-// the rate at once, while the others, not told yet, still named it as the holder:
-// every part looked silent for a second, and requests far inside the rate were
-// refused as over it.
+// Guards against requests far below the rate being refused as over the rate while a
+// node drains. A draining node serves its callers for some seconds more. If it
+// released its rate slots at once, its peers would still consider it the holder,
+// and for a second no part of the rate would respond to them.
 func TestLeavingNodeKeepsItsSlots(t *testing.T) {
 	for seed := range uint64(5) {
 		r, members := newRouted(seed, 3, routedDocument(1, coltsfootward.Rate{PerSecond: 300, Burst: 300}, "quotes"), "north")
@@ -108,9 +109,10 @@
 	}
 }
 
-// A backend server says that it leaves while requests wait for it. Its last word
-// is acknowledged and it ends two seconds later; a request dispatched when its turn
-// comes would reach it then. What waits goes to another server at once.
+// Guards against queued requests being dispatched to a backend server that is shutting
+// down. The server announces that it drains while requests wait for it, and stops two
+// seconds after the acknowledgement. The queued requests must move to another server at
+// once.
 func TestDrainEmptiesTheQueue(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 10000, Burst: 10000}, "quotes")
 	r, members := newRouted(1, 2, document, "north")
@@ -127,17 +129,18 @@
 	before := len(leaving.Backend.Runs)
 	r.Run(4 * time.Second)
 	if got := len(leaving.Backend.Runs); got != before {
-		t.Errorf("%d requests reached the backend server after it had said that it leaves", got-before)
+		t.Errorf("%d requests reached the backend server after it had announced that it drains", got-before)
 	}
 	for i, o := range sent {
 		if !o.Done {
-			t.Errorf("request %d has no final answer", i)
+			t.Errorf("request %d has not ended", i)
 		}
 	}
 }
 
 // The only server of a service rejects one request in ten, whatever the load. A
-// rejection says that nothing ran, so the request is sent to it again.
+// rejection guarantees that nothing ran, so the node must retry the request at the same
+// server.
 func TestOnlyServerIsAskedAgain(t *testing.T) {
 	r, members := newRouted(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
 	m := members[0]
@@ -155,14 +158,15 @@
 		}
 	}
 	if rejected < 87 || answered < 79 {
-		t.Errorf("%d of 80 answered with %d tries, want nearly all", answered, rejected)
+		t.Errorf("%d of 80 answered with %d attempts, want at least 79 answered and 87 attempts", answered, rejected)
 	}
 }
 
-// A backend server breaks off and its request is sent to another one, where it
-// makes its further calls again. These are repeats for the service called, which
-// nobody can refuse there: uncounted, each layer of a chain adds a share of its own
-// and the deepest service gets a multiple of it.
+// Guards against child calls of a retry that are not counted as retries. A backend
+// server fails and its request is retried at another one, which makes the child calls
+// again. For the called service these calls are retries as well, and it cannot refuse
+// them. If they were not counted, each layer of a chain would add its own retry
+// share, and the last service would receive a multiple of it.
 func TestCallsOfARepeatAreRepeats(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes", "feeds")
 	routes := document.Routes()
@@ -181,7 +185,7 @@
 			return first
 		}
 	}
-	for range 40 { // earn a repeat
+	for range 40 { // accumulate the retry budget for one retry
 		failed = true
 		get(members[0])
 		r.Run(20 * time.Millisecond)
@@ -191,17 +195,18 @@
 	o := get(members[0])
 	r.Run(time.Second)
 	if !o.Answered || o.Attempts != 2 {
-		t.Fatalf("got %+v, want an answer of the second attempt", o)
+		t.Fatalf("got %+v, want a response to the second attempt", o)
 	}
 	runs := members[2].Backend.Runs
 	first, second := runs[len(runs)-2], runs[len(runs)-1]
 	if first.Head.Retry || !second.Head.Retry {
-		t.Errorf("calls marked as repeats: %v and %v, want the second one alone", first.Head.Retry, second.Head.Retry)
+		t.Errorf("calls marked as retries: %v and %v, want only the second one", first.Head.Retry, second.Head.Retry)
 	}
 }
 
-// Every configuration names its routes anew. What a node had learnt of old names
-// stayed for good, a little more with each of thousands of changes a day.
+// Guards against a memory leak: each configuration here renames its route, and a node
+// that never dropped its statistics of removed routes would grow with each of
+// thousands of changes a day.
 func TestNodeForgetsRoutesThatAreGone(t *testing.T) {
 	r, members := newRouted(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
 	for revision := range coltsfootward.Revision(30) {
@@ -217,14 +222,15 @@
 		r.Run(100 * time.Millisecond)
 	}
 	if got := members[0].Node().KnownClasses(); got != 1 {
-		t.Errorf("got %d classes of requests known, want the present one", got)
+		t.Errorf("got %d classes of requests, want only the current one", got)
 	}
 }
 
-// All nodes lose power and start again together. Callers come back at once, while
-// nobody knows yet who holds the parts of the rate. Each part then counted as one
-// whose holder does not answer and was left alone for a second, so that callers far
-// inside the rate were refused as over it long after the holders were there.
+// Guards against requests far below the rate being refused as over the rate after all
+// nodes have lost power and restarted together. Callers return at once, when no node
+// knows yet which nodes hold the parts of the rate. If a part without a known holder
+// were treated like one whose holder does not respond, nodes would back off from it
+// for a second and refuse requests long after the holders are known.
 func TestRateIsThereSoonAfterLossOfPower(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 200, Burst: 200}, "quotes")
 	r, members := newRouted(1, 2, document, "north", "south")
@@ -257,6 +263,6 @@
 		}
 	}
 	if overRate > len(late)/20 {
-		t.Errorf("%d of %d requests inside the rate were refused as over it", overRate, len(late))
+		t.Errorf("%d of %d requests within the rate were refused as over the rate", overRate, len(late))
 	}
 }
--- a/core/nodetest/slot_test.go
+++ b/core/nodetest/slot_test.go
@@ -8,11 +8,11 @@
 	"coltsfootward/core/nodetest"
 )
 
-// smallRate is so small that one part in one failure domain holds all of it.
+// smallRate is so low that the rate consists of a single part in one failure domain.
 var smallRate = coltsfootward.Rate{PerSecond: 5, Burst: 5}
 
-// slowly sends one request after the other from members in turn, each 400 ms, for so
-// long, and returns how many were answered.
+// sendSlowly sends one request every 400 ms through the live members in turn until the
+// virtual time d, and returns the number of answered requests.
 func slowly(r *nodetest.Rig, members []*nodetest.Member, d time.Duration) int {
 	var sent []*nodetest.Outcome
 	for i := 0; r.Now() < d; i++ {
@@ -30,8 +30,8 @@
 	return answered
 }
 
-// Guards against a small organisation being refused for long after the node that
-// holds its only part was killed for good.
+// Guards against a small organisation being refused for a long time after the node that
+// holds the only part of its rate was killed for good.
 func TestPartOfAKilledHolderIsTakenOver(t *testing.T) {
 	document := routedDocument(1, smallRate, "quotes")
 	for killed := range 8 {
@@ -40,14 +40,15 @@
 		r.Run(8 * time.Second)
 		from := r.Now()
 		if answered := slowly(r, members, from+4*time.Second); answered < 7 {
-			t.Errorf("with %s killed: got %d answers in 4 s, 8 s later, want nearly all", members[killed].Instance.ID, answered)
+			t.Errorf("with %s killed: got %d answers in the 4 s from 8 s after the kill on, want at least 7", members[killed].Instance.ID, answered)
 		}
 	}
 }
 
-// Guards against an organisation being served twice its burst when the holder of its
-// part was cut off, another node took over, and the first one returns. Rosters may
-// differ for a second, in which both may grant.
+// Guards against an organisation being granted twice its burst after a partition: the
+// holder of its part was unreachable, another node took over, and the first holder
+// returns. The nodes' rosters may differ for one second, in which both holders may
+// grant tokens.
 func TestReturningHolderStartsEmpty(t *testing.T) {
 	document := routedDocument(1, smallRate, "quotes")
 	for round := range 12 {
@@ -83,7 +84,7 @@
 		const watched, differing = 5, 1 // seconds
 		bound := smallRate.Burst + int64((watched+differing)*smallRate.PerSecond)
 		if int64(answered) > bound {
-			t.Errorf("with %s cut off: got %d answers in 5 s after the cut healed, want at most %d", members[cut].Instance.ID, answered, bound)
+			t.Errorf("with %s partitioned: got %d answers in the 5 s after the partition healed, want at most %d", members[cut].Instance.ID, answered, bound)
 		}
 	}
 }
--- a/core/nodetest/start_test.go
+++ b/core/nodetest/start_test.go
@@ -13,19 +13,20 @@
 // startDomains are the failure domains of a fleet that starts.
 var startDomains = []coltsfootward.FailureDomain{"east", "north", "south", "west"}
 
-// startsPerDomain is how many nodes each of them has.
+// startsPerDomain is the number of nodes in each domain.
 const startsPerDomain = 12
 
-// documentStore stands for the part of the platform that holds the operators'
-// document: it serves each node as its duty says, and counts.
+// documentStore is a fake of the platform's storage of the configuration document. It
+// serves each node as the node's DocumentTask demands, and counts the calls.
 type documentStore struct {
 	document       coltsfootward.Configuration
 	reads, follows int
-	// away holds who is turned away; nil turns nobody away.
+	// unavailableTo selects the nodes whose calls fail; nil means that none do.
 	away func(m *nodetest.Member) bool
 }
 
-// serve lets the nodes ask for what their duties say, once.
+// serve performs the current document task of each live node once. following holds the
+// latest revision that each following node has received.
 func (s *documentStore) serve(members []*nodetest.Member, following map[*nodetest.Member]coltsfootward.Revision) {
 	for _, m := range members {
 		if !m.Alive() || s.away != nil && s.away(m) {
@@ -77,8 +78,8 @@
 	return without
 }
 
-// Guards against a fleet that restarts as a whole paying for several calls to the
-// platform a node.
+// Guards against several charged calls to the platform per node when a whole fleet
+// restarts.
 func TestRestartOfAFleetCallsThePlatformOnceANode(t *testing.T) {
 	for seed := range uint64(3) {
 		r, members := newStart(seed)
@@ -97,14 +98,14 @@
 		}
 		calls := table.Reads - reads + table.Writes - writes + store.reads + store.follows
 		if calls > 2*len(members) {
-			t.Errorf("seed %d: %d calls for %d nodes (%d reads of contacts, %d writes, %d reads of the document, %d follow it), want at most two a node",
+			t.Errorf("seed %d: %d calls for %d nodes (%d reads of contacts, %d writes, %d reads of the document, %d follow the document), want at most two per node",
 				seed, calls, len(members), table.Reads-reads, table.Writes-writes, store.reads, store.follows)
 		}
 	}
 }
 
-// Guards against nodes that call a platform which is away ever again, and against
-// ones that wait long once it is back.
+// Guards against nodes that keep calling the platform for the document while it is
+// unavailable, and against nodes that wait long after it has returned.
 func TestStartWhileThePlatformIsAway(t *testing.T) {
 	const outage = 5 * time.Second
 	r, members := newStart(1)
@@ -125,7 +126,7 @@
 		}
 	}
 	if asked > 0 {
-		t.Errorf("nodes asked for the document %d times though the platform did not even tell the contacts", asked)
+		t.Errorf("nodes requested the document %d times although the platform did not even return the contacts", asked)
 	}
 	r.Table.Outage = false
 	for range 40 {
@@ -133,12 +134,12 @@
 		store.serve(members, following)
 	}
 	if without := withoutDocument(members); without > 0 {
-		t.Errorf("%d of %d nodes have no document 4 s after the platform came back", without, len(members))
+		t.Errorf("%d of %d nodes have no document 4 s after the platform returned", without, len(members))
 	}
 }
 
-// Guards against a change that a whole failure domain misses, since the platform
-// turns away those of it who follow the document.
+// Guards against a whole failure domain missing a configuration change because the
+// platform is unavailable to the domain's nodes that follow the document.
 func TestChangeReachesADomainWhoseReadersAreTurnedAway(t *testing.T) {
 	r, members := newStart(2)
 	store := &documentStore{document: routedDocument(3, coltsfootward.Rate{PerSecond: 10, Burst: 10}, "quotes")}
--- a/core/nodetest/table.go
+++ b/core/nodetest/table.go
@@ -13,21 +13,23 @@
 	"coltsfootward/core/node"
 )
 
-// tableDelay is how long the table takes for one operation.
+// tableLatency is the duration of one operation on the table.
 const tableDelay = 2 * time.Millisecond
 
 // Table is a fake of the platform's table. Its fields may be changed while the
-// rig runs. It also implements coltsfootward.Table, answering at once.
+// rig runs. It also implements coltsfootward.Table, whose methods return without
+// delay.
 type Table struct {
-	// Outage makes every operation go unanswered and have no effect.
+	// Outage makes every operation fail with ErrUnavailable and have no effect.
 	Outage bool
-	// LoseAnswers lets operations take effect and then go unanswered.
+	// LoseAnswers makes operations take effect and then fail with ErrUnavailable.
 	LoseAnswers bool
-	// Slow is added to the time of every operation.
+	// Slow is added to the duration of every operation of a node.
 	Slow time.Duration
-	// Reads and Writes count operations that took effect.
+	// Reads and Writes count the operations that took effect.
 	Reads, Writes int
-	// SlotReads and SlotWrites are those among them on the slots' records.
+	// SlotReads and SlotWrites count those among them that accessed the slots'
+	// records; a scan is not counted.
 	SlotReads, SlotWrites int
 
 	rig     *Rig
@@ -45,13 +47,15 @@
 	t.cut[domain] = cut
 }
 
-// CutInstance cuts one instance off from the table, or undoes that.
+// CutInstance partitions one instance from the table, or restores its link to the
+// table if cut is false.
 func (t *Table) CutInstance(id coltsfootward.InstanceID, cut bool) {
 	t.alone[id] = cut
 }
 
-// perform carries out a table action of a node. It takes effect on arrival and
-// is answered a little later; unanswered operations end as unavailable.
+// perform carries out a table action of a node. The operation takes effect after
+// Slow and half of tableLatency. Its result arrives after the other half of
+// tableLatency; an operation without a response fails with ErrUnavailable.
 func (t *Table) perform(m *Member, action node.Action) {
 	var id node.OperationID
 	var run func() ([]coltsfootward.Row, error)
@@ -90,7 +94,8 @@
 	return run()
 }
 
-// answer decides whether the caller hears of an operation's outcome.
+// result returns the outcome of an operation, or ErrUnavailable if responses are
+// being lost.
 func (t *Table) answer(err error) error {
 	if t.LoseAnswers {
 		return coltsfootward.ErrUnavailable
@@ -156,7 +161,7 @@
 	t.rows[w.Key] = coltsfootward.Row{Key: w.Key, Value: slices.Clone(w.Value), Version: t.version}
 }
 
-// submit stores a change as an operator's node would.
+// submit stores a change in the same form as a node that serves an operator.
 func (t *Table) submit(change coltsfootward.Change) {
 	change.Revision = coltsfootward.Revision(len(t.changes()) + 1)
 	value, err := json.Marshal(change)
