--- a/core/nodetest/attempt_test.go
+++ b/core/nodetest/attempt_test.go
@@ -158,14 +158,14 @@
 // retryPerLayer simulates a chain in which each layer makes up to three attempts
 // of a call, independently of the other layers. It returns the number of
 // dispatches that one call causes and whether the call is answered.
-func naive(source *rand.Rand, depth int, o chainOptions) (int, bool) {
+func retryPerLayer(source *rand.Rand, depth int, o chainOptions) (int, bool) {
 	total := 0
 	for range 3 {
 		total++
 		answered := true
 		if depth+1 < o.depth {
 			for range o.fanOut {
-				used, ok := naive(source, depth+1, o)
+				used, ok := retryPerLayer(source, depth+1, o)
 				total += used
 				answered = answered && ok
 				if !ok && !o.parallel {
@@ -184,7 +184,7 @@
 // of seven services that fail at every layer, independent retries multiply: one
 // request becomes thousands of dispatches, which keep the services overloaded.
 // The attempt budget bounds the total.
-func TestAttemptsAgainstEachLayerRetrying(t *testing.T) {
+func TestAttemptsComparedWithRetriesPerLayer(t *testing.T) {
 	for _, o := range []chainOptions{
 		{depth: 7, fanOut: 1, instances: 2, budget: 16, fail: 0},
 		{depth: 7, fanOut: 1, instances: 2, budget: 16, fail: 0.1},
@@ -202,12 +202,12 @@
 		if o.fanOut == 3 && o.fail == 1 {
 			requests = 2 // with retries per layer, each request causes millions of dispatches
 		}
-		naiveTotal, naiveAnswered, answered := 0, 0, 0
+		perLayerTotal, perLayerAnswered, answered := 0, 0, 0
 		for range requests {
-			used, ok := naive(source, 0, o)
-			naiveTotal += used
+			used, ok := retryPerLayer(source, 0, o)
+			perLayerTotal += used
 			if ok {
-				naiveAnswered++
+				perLayerAnswered++
 			}
 			outcome := c.entry.Send(nodetest.Request{Key: key, Service: layer(0)})
 			c.rig.Run(2 * time.Second)
@@ -216,15 +216,15 @@
 			}
 		}
 		t.Logf("depth %d, fan-out %d, failing %4.1f%%: dispatches %6d, answered %2d of %d; retries per layer: dispatches %8d, answered %2d",
-			o.depth, o.fanOut, 100*o.fail, c.total(), answered, requests, naiveTotal, naiveAnswered)
-		if total, most := c.total(), requests*o.budget; total > most {
-			t.Errorf("%+v: got %d dispatches, want at most %d", o, total, most)
+			o.depth, o.fanOut, 100*o.fail, c.total(), answered, requests, perLayerTotal, perLayerAnswered)
+		if total, limit := c.total(), requests*o.budget; total > limit {
+			t.Errorf("%+v: got %d dispatches, want at most %d", o, total, limit)
 		}
 		if o.fail == 0 && answered < requests-1 {
 			t.Errorf("%+v: answered %d of %d without a failure", o, answered, requests)
 		}
-		if o.fail == 1 && naiveTotal < 10*c.total() {
-			t.Errorf("%+v: retries per layer made %d dispatches, want at least ten times the %d under the attempt budget", o, naiveTotal, c.total())
+		if o.fail == 1 && perLayerTotal < 10*c.total() {
+			t.Errorf("%+v: retries per layer made %d dispatches, want at least ten times the %d under the attempt budget", o, perLayerTotal, c.total())
 		}
 	}
 }
--- a/core/nodetest/backend.go
+++ b/core/nodetest/backend.go
@@ -91,8 +91,8 @@
 // Running returns the number of requests that hold a slot.
 func (b *Backend) Running() int { return len(b.running) }
 
-// Waiting returns the number of requests in the backend server's own queue.
-func (b *Backend) Waiting() int { return len(b.queue) }
+// Queued returns the number of requests in the backend server's own queue.
+func (b *Backend) Queued() int { return len(b.queue) }
 
 func (b *Backend) reset() {
 	for _, j := range b.running {
@@ -103,17 +103,17 @@
 }
 
 func (b *Backend) start(a node.Dispatch) {
-	s, ok := b.member.serving[a.Call]
+	s, ok := b.member.peerCalls[a.Call]
 	if !ok {
 		return
 	}
 	if b.Reject != nil && b.Reject(s.head.Head) {
-		b.member.event(func() node.Event { return node.DispatchEnded{Call: a.Call, Kind: node.DispatchRejected} })
+		b.member.deliver(func() node.Event { return node.DispatchEnded{Call: a.Call, Kind: node.DispatchRejected} })
 		return
 	}
 	if b.down {
-		b.member.event(func() node.Event { return node.BackendLost{} })
-		b.member.event(func() node.Event { return node.DispatchEnded{Call: a.Call, Kind: node.DispatchUnsent} })
+		b.member.deliver(func() node.Event { return node.BackendLost{} })
+		b.member.deliver(func() node.Event { return node.DispatchEnded{Call: a.Call, Kind: node.DispatchUnsent} })
 		return
 	}
 	run := &Run{Head: s.head.Head, Token: a.Token, Began: b.member.rig.Now()}
@@ -123,18 +123,18 @@
 		j.children = b.Children(run.Head)
 	}
 	b.queue = append(b.queue, j)
-	if b.overwhelmed() {
+	if b.overloaded() {
 		b.crash()
 		return
 	}
-	b.fill()
+	b.startQueued()
 }
 
 // crashDowntime is the time for which a crashed backend server does not listen.
-const crashTime = 500 * time.Millisecond
+const crashDowntime = 500 * time.Millisecond
 
 // SetCold makes the backend server cold for d without reporting this to its node.
-func (b *Backend) GoCold(d time.Duration) { b.coldUntil = b.member.rig.Now() + d }
+func (b *Backend) SetCold(d time.Duration) { b.coldUntil = b.member.rig.Now() + d }
 
 // Cold returns the remaining time of the backend server's cold period.
 func (b *Backend) Cold() time.Duration { return max(b.coldUntil-b.member.rig.Now(), 0) }
@@ -142,7 +142,7 @@
 // MaxStartsPerSecond returns the highest number of requests that reached the
 // backend server within any second, counting only requests from the given time
 // on.
-func (b *Backend) MostStarts(from time.Duration) int {
+func (b *Backend) MaxStartsPerSecond(from time.Duration) int {
 	most, first := 0, 0
 	for i, run := range b.Runs {
 		if run.Began < from {
@@ -157,8 +157,8 @@
 	return most
 }
 
-func (b *Backend) overwhelmed() bool {
-	return b.ColdRate > 0 && b.Cold() > 0 && float64(b.MostStarts(b.member.rig.Now()-time.Second)) > 2*b.ColdRate
+func (b *Backend) overloaded() bool {
+	return b.ColdRate > 0 && b.Cold() > 0 && float64(b.MaxStartsPerSecond(b.member.rig.Now()-time.Second)) > 2*b.ColdRate
 }
 
 // crash aborts all requests and stops listening for crashDowntime. Unless the
@@ -166,9 +166,9 @@
 func (b *Backend) crash() {
 	b.Crashes++
 	b.down = true
-	b.Break()
+	b.AbortAll()
 	boot := b.member.boots
-	b.member.rig.After(crashTime, func() {
+	b.member.rig.After(crashDowntime, func() {
 		b.down = false
 		if b.member.boots == boot {
 			b.member.AnnounceCold(b.service, b.Slots, b.ColdTime)
@@ -177,29 +177,29 @@
 }
 
 // AbortAll aborts all running and queued requests without a response.
-func (b *Backend) Break() {
+func (b *Backend) AbortAll() {
 	for _, id := range slices.Sorted(maps.Keys(b.running)) {
 		b.queue = append(b.queue, b.running[id])
 	}
-	broken := b.queue
+	aborted := b.queue
 	b.reset()
-	for _, j := range broken {
+	for _, j := range aborted {
 		j.stopped = true
-		b.member.event(func() node.Event { return node.DispatchEnded{Call: j.call, Kind: node.DispatchFailed} })
+		b.member.deliver(func() node.Event { return node.DispatchEnded{Call: j.call, Kind: node.DispatchFailed} })
 	}
 }
 
-func (b *Backend) fill() {
+func (b *Backend) startQueued() {
 	for len(b.queue) > 0 && len(b.running) < b.Slots {
 		j := b.queue[0]
 		b.queue = b.queue[1:]
 		b.running[j.call] = j
-		b.step(j)
+		b.nextStep(j)
 	}
 }
 
-// step makes the next child call, or starts the service time if none remains.
-func (b *Backend) step(j *job) {
+// nextStep makes the next child call, or starts the service time if none remains.
+func (b *Backend) nextStep(j *job) {
 	if b.Parallel && len(j.children) > 0 {
 		b.fanOut(j)
 		return
@@ -228,7 +228,7 @@
 			switch {
 			case j.stopped:
 			case !o.Served():
-				b.failed(j)
+				b.failChildCall(j)
 			case j.pending == 0:
 				b.serve(j)
 			}
@@ -257,16 +257,16 @@
 			return
 		}
 		if !outcome.Served() {
-			b.failed(j)
+			b.failChildCall(j)
 			return
 		}
-		b.step(j)
+		b.nextStep(j)
 	})
 }
 
-// failed ends a request after one of its child calls failed.
-func (b *Backend) failed(j *job) {
-	if s, ok := b.member.serving[j.call]; ok && b.AnswersFailures {
+// failChildCall ends a request after one of its child calls failed.
+func (b *Backend) failChildCall(j *job) {
+	if s, ok := b.member.peerCalls[j.call]; ok && b.AnswersFailures {
 		s.status = http.StatusInternalServerError
 		b.end(j, node.DispatchEnded{Call: j.call, Kind: node.DispatchAnswered, Failed: true})
 		return
@@ -287,8 +287,8 @@
 	j.stopped = true
 	delete(b.running, j.call)
 	j.run.Ended = b.member.rig.Now()
-	b.member.event(func() node.Event { return ended })
-	b.fill()
+	b.member.deliver(func() node.Event { return ended })
+	b.startQueued()
 }
 
 // cancel ends a request whose response nobody waits for, together with its child
@@ -305,11 +305,11 @@
 	}
 	j.stopped = true
 	delete(b.running, call)
-	delete(b.member.serving, call)
+	delete(b.member.peerCalls, call)
 	j.run.Ended = b.member.rig.Now()
 	if j.child != nil {
 		j.child.Leave()
 	}
-	b.member.event(func() node.Event { return node.DispatchEnded{Call: call, Kind: node.DispatchCancelled} })
-	b.fill()
+	b.member.deliver(func() node.Event { return node.DispatchEnded{Call: call, Kind: node.DispatchCancelled} })
+	b.startQueued()
 }
--- a/core/nodetest/chain_test.go
+++ b/core/nodetest/chain_test.go
@@ -12,7 +12,7 @@
 )
 
 // maxDepth is the highest number of services that one request passes through.
-const deepest = 7
+const maxDepth = 7
 
 // newDefaultChain returns a rig in which each service calls the next one, and its
 // first member. Each service has one node and one backend server, and every
@@ -25,12 +25,12 @@
 		coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: key, Organisation: "traders"}},
 	)
 	var first *nodetest.Member
-	for depth := range deepest {
+	for depth := range maxDepth {
 		service := coltsfootward.ServiceName(fmt.Sprintf("service-%d", depth))
 		r.Submit(coltsfootward.Change{Service: &coltsfootward.Service{Name: service}})
 		m := r.Add(node.Options{Self: nodetest.Instance(coltsfootward.InstanceID(fmt.Sprintf("north-%d", depth)), "north"), Domains: domains})
 		m.Announce(service, 4)
-		if depth+1 < deepest {
+		if depth+1 < maxDepth {
 			next := coltsfootward.ServiceName(fmt.Sprintf("service-%d", depth+1))
 			m.Backend.Children = func(message.Call) []nodetest.Request { return []nodetest.Request{{Service: next}} }
 		}
@@ -47,7 +47,7 @@
 // observed yet how many child calls its backend server makes. If each node reserved
 // half of the attempts for a second child call, none would remain for the last
 // service of the chain.
-func TestFirstRequestPassesTheDeepestChain(t *testing.T) {
+func TestFirstRequestsPassDeepestChain(t *testing.T) {
 	r, first := newDefaultChain(1)
 	for i := range 5 {
 		o := first.Send(nodetest.Request{Key: key, Service: "service-0"})
--- a/core/nodetest/claim_test.go
+++ b/core/nodetest/claim_test.go
@@ -46,7 +46,7 @@
 }
 
 // newTimestampedKey returns an idempotency key that contains its creation time.
-func (o *orders) mint() string {
+func (o *orders) newTimestampedKey() string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(o.rig.Wall().UnixMilli())<<16|7<<12)
 	binary.BigEndian.PutUint64(id[8:], 0x80<<56|o.rig.Source().Uint64()>>2)
@@ -70,19 +70,19 @@
 	return counts
 }
 
-// check verifies that each order ran at most once, and that not every request of
-// an order that ran was refused as not_run.
-func (o *orders) check(t interface{ Errorf(string, ...any) }) {
+// checkAtMostOnce verifies that each order ran at most once. If an order ran, not all
+// of its requests may have been refused as not_run.
+func (o *orders) checkAtMostOnce(t interface{ Errorf(string, ...any) }) {
 	runs := o.runs()
 	for idempotencyKey, outcomes := range o.sent {
 		if runs[idempotencyKey] > 1 {
 			t.Errorf("key %s: got %d runs, want at most 1", idempotencyKey, runs[idempotencyKey])
 		}
-		told := false
+		mayHaveRun := false
 		for _, outcome := range outcomes {
-			told = told || outcome.Refusal == nil || outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
+			mayHaveRun = mayHaveRun || outcome.Refusal == nil || outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
 		}
-		if runs[idempotencyKey] > 0 && !told {
+		if runs[idempotencyKey] > 0 && !mayHaveRun {
 			t.Errorf("key %s ran, but all %d requests with it were refused as not_run", idempotencyKey, len(outcomes))
 		}
 	}
@@ -92,7 +92,7 @@
 // Orders are repeated with the same idempotency key through nodes of every failure
 // domain, while nodes are killed, paused and restarted, links are partitioned,
 // messages and responses are lost, backend servers fail and callers cancel requests.
-func TestRepeatsThroughAnyNodeRunOnce(t *testing.T) {
+func TestRepeatedRequestsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOrders(rapid.Uint64().Draw(t, "seed"))
 		loss := rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
@@ -102,7 +102,7 @@
 			o.rig.Run(time.Duration(rapid.SampledFrom([]int{0, 1, 3, 10, 100, 1000, 3_000}).Draw(t, "pass")) * time.Millisecond)
 		}
 		o.rig.Run(10 * time.Second)
-		o.check(t)
+		o.checkAtMostOnce(t)
 	})
 }
 
@@ -111,7 +111,7 @@
 	other := o.members[rapid.IntRange(0, len(o.members)-1).Draw(t, "other")]
 	switch rapid.SampledFrom([]string{"new", "again", "again", "again", "leave", "cut", "heal", "kill", "pause", "suspend", "fail"}).Draw(t, "step") {
 	case "new":
-		o.keys = append(o.keys, rapid.SampledFrom([]string{o.mint(), "west:" + o.mint(), fmt.Sprint("opaque-", len(o.keys))}).Draw(t, "key"))
+		o.keys = append(o.keys, rapid.SampledFrom([]string{o.newTimestampedKey(), "west:" + o.newTimestampedKey(), fmt.Sprint("opaque-", len(o.keys))}).Draw(t, "key"))
 	case "again":
 		if len(o.keys) > 0 {
 			o.place(m, rapid.SampledFrom(o.keys).Draw(t, "which"))
@@ -162,17 +162,17 @@
 // Without faults, a repeated request receives the response of the first one
 // through any node. While the first one runs, it is refused as a duplicate. The
 // same key with another body is refused as reused.
-func TestRepeatIsAnsweredAsTheFirst(t *testing.T) {
+func TestRepeatedRequestGetsFirstResponse(t *testing.T) {
 	o := newOrders(3)
-	order := o.mint()
+	order := o.newTimestampedKey()
 	first := o.place(o.members[0], order)
 	if !o.rig.RunUntil(time.Second, func() bool { return first.Attempts > 0 }) {
 		t.Fatalf("got %+v, want the first request forwarded", first)
 	}
-	while := o.place(o.members[1], order)
+	concurrent := o.place(o.members[1], order)
 	o.rig.Run(time.Second)
-	if !first.Answered || while.Refusal == nil || while.Refusal.Kind != coltsfootward.RefusalDuplicate || while.Refusal.RetryAfter <= 0 {
-		t.Fatalf("got first %+v, repeated request while it ran %+v with refusal %v; want an answer and %s", first, while, while.Refusal, coltsfootward.RefusalDuplicate)
+	if !first.Answered || concurrent.Refusal == nil || concurrent.Refusal.Kind != coltsfootward.RefusalDuplicate || concurrent.Refusal.RetryAfter <= 0 {
+		t.Fatalf("got first %+v, repeated request while it ran %+v with refusal %v; want an answer and %s", first, concurrent, concurrent.Refusal, coltsfootward.RefusalDuplicate)
 	}
 	for _, m := range o.members {
 		repeat := o.place(m, order)
@@ -181,18 +181,18 @@
 			t.Errorf("repeated request through %s: got %+v, refusal %v, want the first response", m.Instance.ID, repeat, repeat.Refusal)
 		}
 	}
-	changed := o.members[2].Send(nodetest.Request{Key: key, Service: "orders", Method: "POST", IdempotencyKey: order, Body: 7})
+	otherBody := o.members[2].Send(nodetest.Request{Key: key, Service: "orders", Method: "POST", IdempotencyKey: order, Body: 7})
 	o.rig.Run(time.Second)
-	if changed.Refusal == nil || changed.Refusal.Kind != coltsfootward.RefusalKeyReused {
-		t.Errorf("key with another body: got %+v, want %s", changed.Refusal, coltsfootward.RefusalKeyReused)
+	if otherBody.Refusal == nil || otherBody.Refusal.Kind != coltsfootward.RefusalKeyReused {
+		t.Errorf("key with another body: got %+v, want %s", otherBody.Refusal, coltsfootward.RefusalKeyReused)
 	}
-	o.check(t)
+	o.checkAtMostOnce(t)
 }
 
 // Guards against a key that stays claimed although nothing ran. All backend servers
 // are draining, so an order is refused as not run. Once one accepts requests again,
 // the repeated order must run and not be refused as a duplicate.
-func TestKeyIsFreeAfterNothingRan(t *testing.T) {
+func TestKeyIsReusableAfterNotRun(t *testing.T) {
 	o := newOrders(4)
 	for _, m := range o.members {
 		if m.Backend.Slots > 0 {
@@ -200,7 +200,7 @@
 		}
 	}
 	o.rig.Run(5 * time.Second)
-	order := o.mint()
+	order := o.newTimestampedKey()
 	refused := o.place(o.members[0], order)
 	o.rig.Run(time.Second)
 	if refused.Refusal == nil || refused.Refusal.Execution != coltsfootward.ExecutionNotRun {
@@ -213,14 +213,14 @@
 	if !repeat.Answered || repeat.Replayed {
 		t.Errorf("repeated request: got %+v with refusal %v, want a new response", repeat, repeat.Refusal)
 	}
-	o.check(t)
+	o.checkAtMostOnce(t)
 }
 
 // Guards against a refusal as not run although an earlier attempt may have run.
 // A request fails at one backend server and is then refused by another node whose
 // backend server has just changed its service. The refusal must report the
 // execution as unknown.
-func TestDoubtOfEarlierAttemptIsTold(t *testing.T) {
+func TestRefusalReportsUnknownExecutionOfEarlierAttempt(t *testing.T) {
 	r, north, south := newPair(5)
 	west := r.Add(node.Options{Self: nodetest.Instance("west-1", "south"), Domains: []coltsfootward.FailureDomain{"north", "south"}})
 	west.Announce("quotes", 4)
@@ -241,7 +241,7 @@
 // Guards against a planned stop of the node that holds a domain's slots blocking
 // requests with opaque keys for the length of a retention window, and against a
 // repeated order running again because its claim was lost with the holder.
-func TestPlannedStopOfHolderHoldsOffNoKey(t *testing.T) {
+func TestPlannedStopOfHolderBlocksNoKey(t *testing.T) {
 	o := newOrders(6)
 	order := func(i int) string { return fmt.Sprint("opaque-", i) }
 	for i := range 40 {
@@ -262,7 +262,7 @@
 			t.Errorf("key %d: got refusal %v, want it executed or reported as executed", i, outcome.Refusal)
 		}
 	}
-	o.check(t)
+	o.checkAtMostOnce(t)
 	runs := o.runs()
 	for i := range 80 {
 		if runs[order(i)] != 1 {
--- a/core/nodetest/cold_test.go
+++ b/core/nodetest/cold_test.go
@@ -14,7 +14,7 @@
 	coldTime = 3 * time.Second
 	// maxColdStarts is the highest number of requests that may reach a cold server in
 	// any second: one and a half times its cold rate, and a few in flight.
-	coldBound = coldRate*3/2 + 8
+	maxColdStarts = coldRate*3/2 + 8
 )
 
 func coldDocument() coltsfootward.Configuration {
@@ -24,8 +24,8 @@
 
 // newColdRig returns a rig whose backend servers crash if they are cold and receive
 // more than twice their cold rate.
-func newCold(seed uint64, nodes int, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
-	r, members := newRouted(seed, nodes, coldDocument(), domains...)
+func newColdRig(seed uint64, nodes int, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
+	r, members := newRoutedRig(seed, nodes, coldDocument(), domains...)
 	for _, m := range members {
 		m.Announce("quotes", 40)
 		m.Backend.ColdRate, m.Backend.ColdTime = coldRate, coldTime
@@ -37,17 +37,17 @@
 
 // sendLoad sends perSecond requests a second, round robin over the members, and
 // returns their outcomes.
-func load(r *nodetest.Rig, members []*nodetest.Member, perSecond int, length time.Duration) []*nodetest.Outcome {
+func sendLoad(r *nodetest.Rig, members []*nodetest.Member, perSecond int, length time.Duration) []*nodetest.Outcome {
 	var sent []*nodetest.Outcome
-	gap := time.Second / time.Duration(perSecond)
-	for i := range int(length / gap) {
+	interval := time.Second / time.Duration(perSecond)
+	for i := range int(length / interval) {
 		sent = append(sent, get(members[i%len(members)]))
-		r.Run(gap)
+		r.Run(interval)
 	}
 	return sent
 }
 
-func answeredPart(sent []*nodetest.Outcome) float64 {
+func answeredShare(sent []*nodetest.Outcome) float64 {
 	answered := 0
 	for _, o := range sent {
 		if o.Answered {
@@ -60,26 +60,26 @@
 // Guards against a cold server that receives its full share of the demand and
 // crashes each time it returns, although the warm servers have capacity for all.
 func TestColdServerAmongWarmOnes(t *testing.T) {
-	r, members := newCold(1, 2, "north", "south")
-	load(r, members, 800, time.Second)
+	r, members := newColdRig(1, 2, "north", "south")
+	sendLoad(r, members, 800, time.Second)
 	cold := members[0]
 	cold.AnnounceCold("quotes", 40, coldTime)
 	from := r.Now()
-	sent := load(r, members, 800, coldTime)
+	sent := sendLoad(r, members, 800, coldTime)
 	warm := r.Now()
-	later := load(r, members, 800, 2*time.Second)
+	later := sendLoad(r, members, 800, 2*time.Second)
 	r.Run(time.Second)
 	// Requests that started before the server announced that it is cold don't count.
-	if got := mostWhileCold(cold, from); got > coldBound {
-		t.Errorf("%d requests reached the cold server in one second, want at most %d", got, coldBound)
+	if got := maxStartsWhileCold(cold, from); got > maxColdStarts {
+		t.Errorf("%d requests reached the cold server in one second, want at most %d", got, maxColdStarts)
 	}
 	if cold.Backend.Crashes > 0 {
 		t.Errorf("the cold server crashed %d times", cold.Backend.Crashes)
 	}
-	if got := answeredPart(sent); got < 0.97 {
+	if got := answeredShare(sent); got < 0.97 {
 		t.Errorf("%.3f answered while one server of four was cold, want 0.97", got)
 	}
-	if got := answeredPart(later); got < 0.99 {
+	if got := answeredShare(later); got < 0.99 {
 		t.Errorf("%.3f answered once all were warm, want 0.99", got)
 	}
 	served := 0
@@ -96,10 +96,10 @@
 // Guards against a crash loop after a power loss: all servers of a service return
 // cold at the same time, receive the full demand, crash and return cold again for
 // as long as the demand lasts.
-func TestServiceIsBackSoonAfterLossOfPower(t *testing.T) {
+func TestServiceRecoversAfterPowerLoss(t *testing.T) {
 	for seed := range uint64(3) {
-		r, members := newCold(seed, 2, "north", "south")
-		load(r, members, 1000, 2*time.Second)
+		r, members := newColdRig(seed, 2, "north", "south")
+		sendLoad(r, members, 1000, 2*time.Second)
 		for _, m := range members {
 			m.Kill()
 		}
@@ -110,25 +110,25 @@
 			m.AnnounceCold("quotes", 40, coldTime)
 		}
 		from := r.Now()
-		during := load(r, members, 1000, coldTime+time.Second)
-		after := load(r, members, 1000, 2*time.Second)
+		during := sendLoad(r, members, 1000, coldTime+time.Second)
+		after := sendLoad(r, members, 1000, 2*time.Second)
 		r.Run(time.Second)
 		for _, m := range members {
-			if m.Backend.Crashes > 0 || mostWhileCold(m, from) > coldBound {
+			if m.Backend.Crashes > 0 || maxStartsWhileCold(m, from) > maxColdStarts {
 				t.Errorf("seed %d: %s crashed %d times and got %d requests in one second, want at most %d",
-					seed, m.Instance.ID, m.Backend.Crashes, mostWhileCold(m, from), coldBound)
+					seed, m.Instance.ID, m.Backend.Crashes, maxStartsWhileCold(m, from), maxColdStarts)
 			}
 		}
-		if got := answeredPart(after); got < 0.98 {
+		if got := answeredShare(after); got < 0.98 {
 			t.Errorf("seed %d: %.3f answered from one second after the cold time on, want 0.98", seed, got)
 		}
 		for _, o := range during {
 			if !o.Done {
 				t.Fatalf("seed %d: a request has not ended", seed)
 			}
-			late := o.Ended - o.Sent
-			if o.Refusal != nil && late > 500*time.Millisecond {
-				t.Fatalf("seed %d: refused after %v, want within 500 ms: %v", seed, late, o.Refusal)
+			elapsed := o.Ended - o.Sent
+			if o.Refusal != nil && elapsed > 500*time.Millisecond {
+				t.Fatalf("seed %d: refused after %v, want within 500 ms: %v", seed, elapsed, o.Refusal)
 			}
 		}
 	}
@@ -136,43 +136,43 @@
 
 // maxStartsWhileCold returns the highest number of requests that reached the server
 // in any second of the cold period that began at from.
-func mostWhileCold(m *nodetest.Member, from time.Duration) int {
+func maxStartsWhileCold(m *nodetest.Member, from time.Duration) int {
 	cold := nodetest.Backend{}
 	for _, run := range m.Backend.Runs {
 		if run.Began >= from && run.Began < from+coldTime {
 			cold.Runs = append(cold.Runs, run)
 		}
 	}
-	return cold.MostStarts(from)
+	return cold.MaxStartsPerSecond(from)
 }
 
 // Guards against a crash of a server that has restarted and not announced yet that
 // it is cold. Its node must infer the restart from the requests that all fail at
 // the same time.
-func TestServerThatRestartsUnannouncedCountsAsCold(t *testing.T) {
-	r, members := newCold(1, 2, "north")
-	load(r, members, 600, time.Second)
+func TestUnannouncedServerRestartCountsAsCold(t *testing.T) {
+	r, members := newColdRig(1, 2, "north")
+	sendLoad(r, members, 600, time.Second)
 	m := members[0]
-	m.Backend.Break()
-	m.Backend.GoCold(coldTime)
+	m.Backend.AbortAll()
+	m.Backend.SetCold(coldTime)
 	from := r.Now() + 50*time.Millisecond
-	load(r, members, 600, time.Second)
-	if got := m.Backend.MostStarts(from); got > coldBound || m.Backend.Crashes > 0 {
+	sendLoad(r, members, 600, time.Second)
+	if got := m.Backend.MaxStartsPerSecond(from); got > maxColdStarts || m.Backend.Crashes > 0 {
 		t.Errorf("%d requests reached the restarted server in one second and it crashed %d times, want at most %d and none",
-			got, m.Backend.Crashes, coldBound)
+			got, m.Backend.Crashes, maxColdStarts)
 	}
 }
 
 // Guards against a warm server that is treated as cold because requests on it fail
 // at random: half of them fail here, but not all at the same time.
-func TestServerThatBreaksOffAtRandomStaysWarm(t *testing.T) {
-	r, members := newCold(1, 1, "north")
+func TestRandomFailuresDoNotMakeServerCold(t *testing.T) {
+	r, members := newColdRig(1, 1, "north")
 	m := members[0]
-	breaks := 0
-	m.Backend.Fail = func(message.Call) bool { breaks++; return breaks%2 == 0 }
+	requests := 0
+	m.Backend.Fail = func(message.Call) bool { requests++; return requests%2 == 0 }
 	from := r.Now()
-	load(r, members, 100, 4*time.Second)
-	if got := m.Backend.MostStarts(from); got < 90 {
+	sendLoad(r, members, 100, 4*time.Second)
+	if got := m.Backend.MaxStartsPerSecond(from); got < 90 {
 		t.Errorf("%d requests reached a warm server in one second, want nearly all of 100", got)
 	}
 }
@@ -189,37 +189,37 @@
 // of a failure domain that an operator has taken out of service, and against failing the requests that callers
 // send to its nodes. When the domain returns, its servers are cold and must not
 // receive more than their cold rate allows.
-func TestDomainOutOfServiceGetsNoWork(t *testing.T) {
-	r, members := newCold(1, 2, "north", "south", "west")
-	load(r, members, 600, time.Second)
+func TestDomainOutOfServiceGetsNoRequests(t *testing.T) {
+	r, members := newColdRig(1, 2, "north", "south", "west")
+	sendLoad(r, members, 600, time.Second)
 	members[0].ReadDomains(outOfService(5, "south"))
 	r.Run(time.Second)
 	from := r.Now()
-	sent := load(r, members, 600, 2*time.Second)
+	sent := sendLoad(r, members, 600, 2*time.Second)
 	r.Run(time.Second)
 	for _, m := range members {
-		if got := m.Backend.MostStarts(from); m.Instance.Domain == "south" && got > 0 {
+		if got := m.Backend.MaxStartsPerSecond(from); m.Instance.Domain == "south" && got > 0 {
 			t.Errorf("%d requests reached %s within a second, want none", got, m.Instance.ID)
 		}
 	}
-	if got := answeredPart(sent); got < 0.99 {
+	if got := answeredShare(sent); got < 0.99 {
 		t.Errorf("%.3f answered with one domain of three out of service, want 0.99", got)
 	}
 	members[5].ReadDomains(outOfService(6))
 	for _, m := range members {
 		if m.Instance.Domain == "south" {
-			m.Backend.GoCold(coldTime)
+			m.Backend.SetCold(coldTime)
 		}
 	}
 	restored := r.Now()
-	load(r, members, 600, coldTime)
+	sendLoad(r, members, 600, coldTime)
 	for _, m := range members {
 		if m.Instance.Domain != "south" {
 			continue
 		}
-		if got := m.Backend.MostStarts(restored); got == 0 || got > coldBound || m.Backend.Crashes > 0 {
+		if got := m.Backend.MaxStartsPerSecond(restored); got == 0 || got > maxColdStarts || m.Backend.Crashes > 0 {
 			t.Errorf("%s: %d requests in one second and %d crashes after its domain returned cold, want some and at most %d, no crash",
-				m.Instance.ID, got, m.Backend.Crashes, coldBound)
+				m.Instance.ID, got, m.Backend.Crashes, maxColdStarts)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 // Guards against queued requests that are dispatched to a server after its domain
 // was taken out of service.
 func TestDomainOutOfServiceEmptiesItsQueues(t *testing.T) {
-	r, members := newRouted(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north", "south")
+	r, members := newRoutedRig(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north", "south")
 	for _, m := range members {
 		m.Backend.ServiceTime = func(message.Call) time.Duration { return 700 * time.Millisecond }
 	}
@@ -253,8 +253,8 @@
 // Guards against a restarted node that sends requests to a domain out of service
 // because it has lost its state, and against a delayed older version of the state
 // replacing the newer one.
-func TestRestartedNodeLearnsWhichDomainsAreOut(t *testing.T) {
-	r, members := newCold(1, 2, "north", "south")
+func TestRestartedNodeLearnsDomainsOutOfService(t *testing.T) {
+	r, members := newColdRig(1, 2, "north", "south")
 	members[1].ReadDomains(outOfService(9, "south"))
 	r.Run(2 * time.Second)
 	members[0].Kill()
@@ -273,7 +273,7 @@
 // Guards against requests that hang or run while all failure domains are out of
 // service.
 func TestAllDomainsOutOfService(t *testing.T) {
-	r, members := newCold(1, 1, "north", "south")
+	r, members := newColdRig(1, 1, "north", "south")
 	members[0].ReadDomains(outOfService(3, "north", "south", "nowhere"))
 	r.Run(time.Second)
 	from := r.Now()
@@ -283,7 +283,7 @@
 		t.Errorf("got %+v, want a refusal as not run with a retry time", o)
 	}
 	for _, m := range members {
-		if m.Backend.MostStarts(from) > 0 {
+		if m.Backend.MaxStartsPerSecond(from) > 0 {
 			t.Errorf("a request reached %s", m.Instance.ID)
 		}
 	}
@@ -292,16 +292,16 @@
 // Guards against requests being routed to a cold server because the warm ones are
 // saturated, only to be refused there, and against the whole service being treated
 // as saturated because the cold server's node reports that it has no capacity.
-func TestColdServerIsSparedUnderOverload(t *testing.T) {
-	r, members := newCold(1, 2, "north", "south")
-	load(r, members, 1000, 2*time.Second)
+func TestOverloadIsNotRoutedToColdServer(t *testing.T) {
+	r, members := newColdRig(1, 2, "north", "south")
+	sendLoad(r, members, 1000, 2*time.Second)
 	cold := members[0]
 	cold.AnnounceCold("quotes", 40, coldTime)
 	r.Run(500 * time.Millisecond)
 	records := len(cold.Records)
 	// Three warm servers of 40 slots serve 1,714 requests of 70 ms a second.
 	const demand, capacity = 2200, 1700
-	sent := load(r, members, demand, 2*time.Second)
+	sent := sendLoad(r, members, demand, 2*time.Second)
 	refused := 0
 	for _, record := range cold.Records[records:] {
 		if record.Name == "call_refused" {
@@ -311,28 +311,28 @@
 	if refused > len(sent)/50 {
 		t.Errorf("%d of %d requests were refused by the cold server's node, want at most one in fifty", refused, len(sent))
 	}
-	if got, want := answeredPart(sent), 0.85*capacity/demand; got < want {
+	if got, want := answeredShare(sent), 0.85*capacity/demand; got < want {
 		t.Errorf("%.3f answered, want %.3f: most of the warm servers' capacity", got, want)
 	}
 }
 
 // Guards against nearly all requests being refused for a service without a cold
 // rate, because its servers report a cold period after their start.
-func TestSlowServersOfAServiceWithoutColdRateServe(t *testing.T) {
+func TestServiceWithoutColdRateIsNotLimited(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 100000, Burst: 100000}, "quotes")
-	r, members := newRouted(1, 2, document, "north", "south")
+	r, members := newRoutedRig(1, 2, document, "north", "south")
 	for _, m := range members {
 		m.Announce("quotes", 40)
 		m.Backend.ServiceTime = func(message.Call) time.Duration { return 70 * time.Millisecond }
 	}
-	load(r, members, 800, time.Second)
+	sendLoad(r, members, 800, time.Second)
 	for _, m := range members {
 		m.AnnounceCold("quotes", 40, coldTime)
 	}
 	r.Run(200 * time.Millisecond)
-	sent := load(r, members, 800, 2*time.Second)
+	sent := sendLoad(r, members, 800, 2*time.Second)
 	r.Run(time.Second)
-	if got := answeredPart(sent); got < 0.99 {
+	if got := answeredShare(sent); got < 0.99 {
 		t.Errorf("%.3f answered, want 0.99", got)
 	}
 }
--- a/core/nodetest/evidence_test.go
+++ b/core/nodetest/evidence_test.go
@@ -13,35 +13,35 @@
 // missingFields looks at all records with the given code and kind of refusal and
 // returns the field names that the most complete of them lacks. The result is false
 // if there is no such record.
-func lacking(members []*nodetest.Member, code record.Code, kind coltsfootward.RefusalKind, names ...string) ([]string, bool) {
-	var least []string
+func missingFields(members []*nodetest.Member, code record.Code, kind coltsfootward.RefusalKind, names ...string) ([]string, bool) {
+	var fewest []string
 	seen := false
 	for _, m := range members {
 		for _, r := range m.Records {
-			found := make(map[string]string)
+			values := make(map[string]string)
 			for _, f := range r.Fields {
-				found[f.Name] = f.Value
+				values[f.Name] = f.Value
 			}
-			if r.Code != code || found["kind"] != string(kind) {
+			if r.Code != code || values["kind"] != string(kind) {
 				continue
 			}
 			var missing []string
 			for _, name := range names {
-				if found[name] == "" {
+				if values[name] == "" {
 					missing = append(missing, name)
 				}
 			}
-			if !seen || len(missing) < len(least) {
-				least = missing
+			if !seen || len(missing) < len(fewest) {
+				fewest = missing
 			}
 			seen = true
 		}
 	}
-	return least, seen
+	return fewest, seen
 }
 
 // Guards against refusals whose cause cannot be determined from the log.
-func TestRefusalsSayWhatDecidedThem(t *testing.T) {
+func TestRefusalRecordsNameTheCause(t *testing.T) {
 	tests := []struct {
 		name  string
 		code  record.Code
@@ -53,9 +53,9 @@
 	}{
 		{"over the rate", record.RequestRefused, coltsfootward.RefusalOverRate, coltsfootward.Rate{PerSecond: 4, Burst: 4}, 0,
 			nil, []string{"organisation", "rate", "burst", "revision", "parts", "retry_after"}},
-		{"full server", record.CallRefused, coltsfootward.RefusalOverloaded, coltsfootward.Rate{PerSecond: 1e4, Burst: 1e4}, 900 * time.Millisecond,
+		{"saturated server", record.CallRefused, coltsfootward.RefusalOverloaded, coltsfootward.Rate{PerSecond: 1e4, Burst: 1e4}, 900 * time.Millisecond,
 			nil, []string{"running", "queued", "limit", "backlog", "waited", "left", "service"}},
-		{"full server, at the entry", record.AttemptFailed, coltsfootward.RefusalOverloaded, coltsfootward.Rate{PerSecond: 1e4, Burst: 1e4}, 900 * time.Millisecond,
+		{"saturated server, at the entry node", record.AttemptFailed, coltsfootward.RefusalOverloaded, coltsfootward.Rate{PerSecond: 1e4, Burst: 1e4}, 900 * time.Millisecond,
 			nil, []string{"instance", "hop", "took", "detail", "service"}},
 		{"gate", record.RequestRefused, coltsfootward.RefusalOverloaded, coltsfootward.Rate{PerSecond: 1e4, Burst: 1e4}, 400 * time.Millisecond,
 			nil, []string{"full", "excess", "age", "rank", "limit"}},
@@ -70,7 +70,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r, members := newRouted(1, 2, routedDocument(1, test.rate, "quotes"), "north", "south")
+			r, members := newRoutedRig(1, 2, routedDocument(1, test.rate, "quotes"), "north", "south")
 			for _, m := range members {
 				if test.slow > 0 {
 					m.Backend.ServiceTime = func(message.Call) time.Duration { return test.slow }
@@ -86,7 +86,7 @@
 				r.Run(10 * time.Millisecond)
 			}
 			r.Run(3 * time.Second)
-			missing, ok := lacking(members, test.code, test.kind, test.want...)
+			missing, ok := missingFields(members, test.code, test.kind, test.want...)
 			if !ok {
 				t.Fatalf("no refusal of kind %s was reported", test.kind)
 			}
@@ -98,42 +98,42 @@
 }
 
 // Guards against records of refusals that don't mention that servers were cold.
-func TestRefusalsSayThatServersAreCold(t *testing.T) {
-	r, members := newCold(1, 2, "north", "south")
-	load(r, members, 1000, time.Second)
+func TestRefusalRecordsMentionColdServers(t *testing.T) {
+	r, members := newColdRig(1, 2, "north", "south")
+	sendLoad(r, members, 1000, time.Second)
 	for _, m := range members {
 		m.AnnounceCold("quotes", 40, coldTime)
 	}
-	load(r, members, 1000, coldTime-time.Second)
-	for code, kind := range map[record.Code]string{record.RequestRefused: "at the entry", record.CallRefused: "at the server's node"} {
-		missing, ok := lacking(members, code, coltsfootward.RefusalOverloaded, "cold")
+	sendLoad(r, members, 1000, coldTime-time.Second)
+	for code, location := range map[record.Code]string{record.RequestRefused: "at the entry node", record.CallRefused: "at the server's node"} {
+		missing, ok := missingFields(members, code, coltsfootward.RefusalOverloaded, "cold")
 		if !ok || len(missing) > 0 {
-			t.Errorf("%s: records of refusals lack the fields %v, seen %v", kind, missing, ok)
+			t.Errorf("%s: records of refusals lack the fields %v, seen %v", location, missing, ok)
 		}
 	}
-	passed, refused := 0, 0
+	admitted, refused := 0, 0
 	for _, m := range members {
 		cold := m.Node().Cold()
 		if cold.Remaining <= 0 || cold.Remaining > coldTime {
 			t.Errorf("%s: remaining cold time %v, want more than zero and at most %v", m.Instance.ID, cold.Remaining, coldTime)
 		}
-		passed += cold.Passed
+		admitted += cold.Passed
 		refused += cold.Refused
 	}
-	if passed == 0 || refused == 0 {
-		t.Errorf("nodes of cold servers admitted %d requests and refused %d, want some of both", passed, refused)
+	if admitted == 0 || refused == 0 {
+		t.Errorf("nodes of cold servers admitted %d requests and refused %d, want some of both", admitted, refused)
 	}
 }
 
 // Guards against a refusal for want of an upstream whose record doesn't mention that
 // operators have taken domains out of service.
-func TestRefusalsNameDomainsOutOfService(t *testing.T) {
-	r, members := newCold(1, 1, "north", "south")
+func TestRefusalRecordsNameDomainsOutOfService(t *testing.T) {
+	r, members := newColdRig(1, 1, "north", "south")
 	members[0].ReadDomains(outOfService(3, "north", "south"))
 	r.Run(time.Second)
 	get(members[1])
 	r.Run(time.Second)
-	if missing, ok := lacking(members, record.RequestRefused, coltsfootward.RefusalNoUpstream, "out_of_service"); !ok || len(missing) > 0 {
+	if missing, ok := missingFields(members, record.RequestRefused, coltsfootward.RefusalNoUpstream, "out_of_service"); !ok || len(missing) > 0 {
 		t.Errorf("the record of the refusal lacks the fields %v, seen %v", missing, ok)
 	}
 }
--- a/core/nodetest/holder_test.go
+++ b/core/nodetest/holder_test.go
@@ -16,7 +16,7 @@
 // watched a slot during that time and no longer does must not trust the record that
 // it read then. Otherwise it requests tokens from the old holder, is referred to
 // the new holder, and returns to the old one.
-func TestCutOffDomainDrawsFromItsOwnHolders(t *testing.T) {
+func TestPartitionedDomainUsesItsOwnHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		r := nodetest.New(seed)
 		domains := []coltsfootward.FailureDomain{"north", "south", "west"}
--- a/core/nodetest/link.go
+++ b/core/nodetest/link.go
@@ -22,22 +22,22 @@
 	case node.Refuse:
 		m.refuse(a)
 	case node.CancelAttempt:
-		if e, ok := m.entries[a.Call]; ok && e.target != nil {
-			m.leaveRemote(e)
+		if e, ok := m.entryRequests[a.Call]; ok && e.target != nil {
+			m.cancelRemote(e)
 		}
 	case node.Dispatch:
 		m.Backend.start(a)
 	case node.Replay:
 		m.replay(a)
 	case node.EndResponse:
-		m.answered(a)
+		m.respond(a)
 	case node.CancelDispatch:
 		m.Backend.cancel(a.Call)
 	case node.Send:
 		m.send(a)
 	case node.CheckBackend:
-		m.rig.After(breakDelay, func() {
-			m.event(func() node.Event { return node.BackendChecked{Cold: m.Backend.Cold()} })
+		m.rig.After(breakDetectionDelay, func() {
+			m.deliver(func() node.Event { return node.BackendChecked{Cold: m.Backend.Cold()} })
 		})
 	case node.Report:
 		m.Records = append(m.Records, a.Record)
@@ -58,7 +58,7 @@
 	}
 	sent := m.rig.now
 	m.rig.After(m.rig.delay(m.Instance, to.Instance), func() {
-		to.event(func() node.Event {
+		to.deliver(func() node.Event {
 			return node.MessageArrived{From: m.Instance.ID, Message: a.Message, Age: m.rig.now - sent}
 		})
 	})
@@ -66,7 +66,7 @@
 
 // forward starts an attempt: it sends a call to the node of its target.
 func (m *Member) forward(a node.Forward) {
-	e, ok := m.entries[a.Call]
+	e, ok := m.entryRequests[a.Call]
 	if !ok {
 		return
 	}
@@ -75,22 +75,22 @@
 	attempt := e.attempt
 	to := m.rig.members[a.To.ID]
 	if to == nil || !to.alive {
-		m.later(to, func() { m.attemptEnded(a.Call, attempt, node.AttemptEnded{Kind: node.AttemptUnsent}) })
+		m.afterLinkDelay(to, func() { m.attemptEnded(a.Call, attempt, node.AttemptEnded{Kind: node.AttemptUnsent}) })
 		return
 	}
 	if !m.rig.connected(m.Instance.ID, to.Instance.ID) {
-		m.rig.After(breakDelay, func() { m.attemptEnded(a.Call, attempt, node.AttemptEnded{Kind: node.AttemptLost}) })
+		m.rig.After(breakDetectionDelay, func() { m.attemptEnded(a.Call, attempt, node.AttemptEnded{Kind: node.AttemptLost}) })
 		return
 	}
 	to.nextID++
 	e.target = to
-	e.remote = to.nextID
-	s := &served{origin: m, call: a.Call, attempt: attempt, status: statusOK}
-	to.serving[e.remote] = s
+	e.remoteCall = to.nextID
+	s := &peerCall{origin: m, call: a.Call, attempt: attempt, status: statusOK}
+	to.peerCalls[e.remoteCall] = s
 	sent := m.rig.now
-	remote := e.remote
-	m.later(to, func() {
-		to.event(func() node.Event {
+	remote := e.remoteCall
+	m.afterLinkDelay(to, func() {
+		to.deliver(func() node.Event {
 			s.head = node.PeerCallArrived{Call: remote, From: m.Instance.ID, Head: a.Head, Age: m.rig.now - sent}
 			return s.head
 		})
@@ -99,7 +99,7 @@
 
 // afterLinkDelay runs f after the one-way delay of the link to the given member,
 // or after DefaultDelay if the member is nil.
-func (m *Member) later(to *Member, f func()) {
+func (m *Member) afterLinkDelay(to *Member, f func()) {
 	if to == nil {
 		m.rig.After(DefaultDelay, f)
 		return
@@ -109,35 +109,35 @@
 
 // sendBack runs f after the delay of the link to the call's origin. If the link
 // is partitioned, the origin observes a broken connection instead.
-func (m *Member) back(s *served, f func()) {
+func (m *Member) sendBack(s *peerCall, f func()) {
 	if !m.rig.connected(m.Instance.ID, s.origin.Instance.ID) {
-		m.breakCall(s)
+		m.breakConnection(s)
 		return
 	}
-	m.later(s.origin, f)
+	m.afterLinkDelay(s.origin, f)
 }
 
-func (m *Member) breakCall(s *served) {
-	m.rig.After(breakDelay, func() {
+func (m *Member) breakConnection(s *peerCall) {
+	m.rig.After(breakDetectionDelay, func() {
 		s.origin.attemptEnded(s.call, s.attempt, node.AttemptEnded{Kind: node.AttemptLost})
 	})
 }
 
 func (m *Member) attemptEnded(call node.CallID, attempt int, ended node.AttemptEnded) {
-	e, ok := m.entries[call]
+	e, ok := m.entryRequests[call]
 	if !ok || e.attempt != attempt {
 		return
 	}
 	e.target = nil
 	ended.Call = call
-	m.event(func() node.Event { return ended })
+	m.deliver(func() node.Event { return ended })
 }
 
 // refuse delivers a refusal to the caller, or to the entry node if a peer sent
 // the call.
 func (m *Member) refuse(a node.Refuse) {
-	if e, ok := m.entries[a.Call]; ok {
-		delete(m.entries, a.Call)
+	if e, ok := m.entryRequests[a.Call]; ok {
+		delete(m.entryRequests, a.Call)
 		m.endOutcome(e.outcome, func(o *Outcome) {
 			o.Done = true
 			refusal := a.Refusal
@@ -145,12 +145,12 @@
 		})
 		return
 	}
-	s, ok := m.serving[a.Call]
+	s, ok := m.peerCalls[a.Call]
 	if !ok {
 		return
 	}
-	delete(m.serving, a.Call)
-	m.back(s, func() {
+	delete(m.peerCalls, a.Call)
+	m.sendBack(s, func() {
 		s.origin.attemptEnded(s.call, s.attempt, node.AttemptEnded{
 			Kind: node.AttemptRefused, Refusal: a.Refusal, Load: a.Load, Attempts: a.Attempts,
 		})
@@ -159,11 +159,11 @@
 
 // replay delivers a retained response to the caller.
 func (m *Member) replay(a node.Replay) {
-	e, ok := m.entries[a.Call]
+	e, ok := m.entryRequests[a.Call]
 	if !ok {
 		return
 	}
-	delete(m.entries, a.Call)
+	delete(m.entryRequests, a.Call)
 	m.endOutcome(e.outcome, func(o *Outcome) {
 		o.Done = true
 		o.Answered = true
@@ -173,26 +173,26 @@
 }
 
 // respond sends a complete response back to the entry node and its caller.
-func (m *Member) answered(a node.EndResponse) {
-	s, ok := m.serving[a.Call]
+func (m *Member) respond(a node.EndResponse) {
+	s, ok := m.peerCalls[a.Call]
 	if !ok {
 		return
 	}
-	delete(m.serving, a.Call)
+	delete(m.peerCalls, a.Call)
 	load := m.machine.LoadFor(s.head.Head)
-	m.back(s, func() { s.origin.delivered(s, m.Instance.ID, load, a) })
+	m.sendBack(s, func() { s.origin.receiveResponse(s, m.Instance.ID, load, a) })
 }
 
-func (m *Member) delivered(s *served, by coltsfootward.InstanceID, load messageLoad, end node.EndResponse) {
-	e, ok := m.entries[s.call]
+func (m *Member) receiveResponse(s *peerCall, by coltsfootward.InstanceID, load messageLoad, end node.EndResponse) {
+	e, ok := m.entryRequests[s.call]
 	if !ok || e.attempt != s.attempt || !m.alive {
 		return
 	}
-	delete(m.entries, s.call)
-	m.event(func() node.Event {
+	delete(m.entryRequests, s.call)
+	m.deliver(func() node.Event {
 		return node.AttemptEnded{Call: s.call, Kind: node.AttemptAnswered, Load: load, Status: s.status}
 	})
-	m.event(func() node.Event {
+	m.deliver(func() node.Event {
 		return node.CallDone{Call: s.call, Attempts: end.Attempts, Needed: end.Needed, Complete: true,
 			Answer: &claim.Answer{Status: s.status, Body: []byte(by)}}
 	})
@@ -205,12 +205,12 @@
 }
 
 // cancelRemote notifies the target's node that nobody waits for the call any more.
-func (m *Member) leaveRemote(e *entry) {
-	to, remote := e.target, e.remote
+func (m *Member) cancelRemote(e *entryRequest) {
+	to, remote := e.target, e.remoteCall
 	e.target = nil
 	if !m.rig.connected(m.Instance.ID, to.Instance.ID) {
-		m.rig.After(breakDelay, func() { to.event(func() node.Event { return node.CallerLeft{Call: remote} }) })
+		m.rig.After(breakDetectionDelay, func() { to.deliver(func() node.Event { return node.CallerLeft{Call: remote} }) })
 		return
 	}
-	m.later(to, func() { to.event(func() node.Event { return node.CallerLeft{Call: remote} }) })
+	m.afterLinkDelay(to, func() { to.deliver(func() node.Event { return node.CallerLeft{Call: remote} }) })
 }
--- a/core/nodetest/member.go
+++ b/core/nodetest/member.go
@@ -29,28 +29,28 @@
 	alive   bool
 	paused  bool
 	// clockStopped is the total time for which the monotonic clock stood still.
-	frozen    time.Duration
-	suspended bool
-	pausedAt  time.Duration
+	clockStopped time.Duration
+	suspended    bool
+	pausedAt     time.Duration
 	// deferred delivers the events that arrived during a pause, in their order.
-	held    []func()
-	nextID  node.CallID
-	entries map[node.CallID]*entry
-	serving map[node.CallID]*served
+	deferred      []func()
+	nextID        node.CallID
+	entryRequests map[node.CallID]*entryRequest
+	peerCalls     map[node.CallID]*peerCall
 }
 
 // entryRequest is a pending request at its entry node.
-type entry struct {
+type entryRequest struct {
 	outcome *Outcome
 	// attempt is the number of the latest attempt; reports about an earlier
 	// attempt are ignored.
-	attempt int
-	target  *Member
-	remote  node.CallID
+	attempt    int
+	target     *Member
+	remoteCall node.CallID
 }
 
 // peerCall is a call that an entry node forwarded to this node.
-type served struct {
+type peerCall struct {
 	origin  *Member
 	call    node.CallID
 	attempt int
@@ -101,7 +101,7 @@
 
 	member *Member
 	call   node.CallID
-	notify func()
+	onDone func()
 }
 
 func newMember(r *Rig, options node.Options) *Member {
@@ -124,11 +124,11 @@
 	m.Instance.Incarnation = coltsfootward.Incarnation(m.boots)
 	m.options.Self = m.Instance
 	m.booted = m.rig.now
-	m.frozen = 0
+	m.clockStopped = 0
 	m.alive = true
 	m.Drained = false
-	m.entries = make(map[node.CallID]*entry)
-	m.serving = make(map[node.CallID]*served)
+	m.entryRequests = make(map[node.CallID]*entryRequest)
+	m.peerCalls = make(map[node.CallID]*peerCall)
 	seed := m.rig.source.Uint64()
 	m.machine = node.New(m.options, rand.New(rand.NewPCG(seed, uint64(m.boots))), m.instant())
 	m.tick(m.boots)
@@ -146,13 +146,13 @@
 
 func (m *Member) instant() coltsfootward.Instant {
 	elapsed := m.rig.now - m.booted
-	frozen := m.frozen
+	clockStopped := m.clockStopped
 	if m.suspended {
-		frozen += m.rig.now - m.pausedAt
+		clockStopped += m.rig.now - m.pausedAt
 	}
 	return coltsfootward.Instant{
-		Monotonic: start + elapsed - frozen,
-		Expiry:    start + elapsed,
+		Monotonic: initialTime + elapsed - clockStopped,
+		Expiry:    initialTime + elapsed,
 		Wall:      m.rig.Wall(),
 	}
 }
@@ -160,12 +160,12 @@
 // deliver passes an event to the node unless the node is dead. A paused node
 // receives the event at the end of its pause; build runs only then, so that the
 // event carries the age that it has by that time.
-func (m *Member) event(build func() node.Event) {
+func (m *Member) deliver(build func() node.Event) {
 	if !m.alive {
 		return
 	}
 	if m.paused {
-		m.held = append(m.held, func() { m.handle(build()) })
+		m.deferred = append(m.deferred, func() { m.handle(build()) })
 		return
 	}
 	m.handle(build())
@@ -193,13 +193,13 @@
 // Resume ends a pause. The events that arrived during it are handled now.
 func (m *Member) Resume() {
 	if m.suspended {
-		m.frozen += m.rig.now - m.pausedAt
+		m.clockStopped += m.rig.now - m.pausedAt
 	}
 	m.paused = false
 	m.suspended = false
-	held := m.held
-	m.held = nil
-	for _, deliver := range held {
+	deferred := m.deferred
+	m.deferred = nil
+	for _, deliver := range deferred {
 		if m.alive {
 			deliver()
 		}
@@ -210,22 +210,22 @@
 func (m *Member) Kill() {
 	m.alive = false
 	m.paused = false
-	m.held = nil
+	m.deferred = nil
 	m.Backend.reset()
-	for _, id := range sortedIDs(m.serving) {
-		m.breakCall(m.serving[id])
+	for _, id := range sortedIDs(m.peerCalls) {
+		m.breakConnection(m.peerCalls[id])
 	}
-	for _, id := range sortedIDs(m.entries) {
-		e := m.entries[id]
+	for _, id := range sortedIDs(m.entryRequests) {
+		e := m.entryRequests[id]
 		m.endOutcome(e.outcome, func(o *Outcome) { o.Done = true })
 		if e.target != nil {
-			m.leaveRemote(e)
+			m.cancelRemote(e)
 		}
 	}
 	for _, other := range m.rig.Members() {
 		if other != m && other.alive {
 			m.rig.After(m.rig.delay(m.Instance, other.Instance), func() {
-				other.event(func() node.Event { return node.PeerLost{Instance: m.Instance.ID} })
+				other.deliver(func() node.Event { return node.PeerLost{Instance: m.Instance.ID} })
 			})
 		}
 	}
@@ -237,45 +237,45 @@
 	m.boot()
 }
 
-// Announce delivers a heartbeat of the backend server: its service and its number
+// Announce delivers an announcement of the backend server: its service and its number
 // of slots.
 func (m *Member) Announce(service coltsfootward.ServiceName, slots int) {
 	m.Backend.service = service
 	m.Backend.Slots = slots
-	m.event(func() node.Event { return node.BackendAnnounced{Service: service, Slots: slots} })
+	m.deliver(func() node.Event { return node.BackendAnnounced{Service: service, Slots: slots} })
 }
 
-// AnnounceCold makes the backend server cold for the given time and delivers a
-// heartbeat that reports the remaining cold time with the service and the slots.
+// AnnounceCold makes the backend server cold for the given time and delivers an
+// announcement that reports the remaining cold time with the service and the slots.
 func (m *Member) AnnounceCold(service coltsfootward.ServiceName, slots int, cold time.Duration) {
 	m.Backend.service = service
 	m.Backend.Slots = slots
-	m.Backend.GoCold(cold)
-	m.event(func() node.Event { return node.BackendAnnounced{Service: service, Slots: slots, Cold: cold} })
+	m.Backend.SetCold(cold)
+	m.deliver(func() node.Event { return node.BackendAnnounced{Service: service, Slots: slots, Cold: cold} })
 }
 
 // ReadDomains delivers the failure domains out of service, as read from the
 // platform.
 func (m *Member) ReadDomains(o coltsfootward.OutOfService) {
-	m.event(func() node.Event { return node.DomainsRead{OutOfService: o} })
+	m.deliver(func() node.Event { return node.DomainsRead{OutOfService: o} })
 }
 
 // Read delivers a configuration document, as read from the platform.
 func (m *Member) Read(c coltsfootward.Configuration) {
-	m.event(func() node.Event { return node.ConfigurationRead{Configuration: c} })
+	m.deliver(func() node.Event { return node.ConfigurationRead{Configuration: c} })
 }
 
-// DrainBackend delivers a heartbeat that reports that the backend server is
+// DrainBackend delivers an announcement that reports that the backend server is
 // draining and accepts no new requests.
 func (m *Member) DrainBackend() {
-	m.event(func() node.Event {
+	m.deliver(func() node.Event {
 		return node.BackendAnnounced{Service: m.Backend.service, Slots: m.Backend.Slots, Draining: true}
 	})
 }
 
 // Drain requests a graceful shutdown of the node.
 func (m *Member) Drain() {
-	m.event(func() node.Event { return node.DrainRequested{} })
+	m.deliver(func() node.Event { return node.DrainRequested{} })
 }
 
 // Send sends a request to this node. On a dead node the request ends at once,
@@ -289,14 +289,14 @@
 	}
 	m.nextID++
 	o.call = m.nextID
-	m.entries[o.call] = &entry{outcome: o}
+	m.entryRequests[o.call] = &entryRequest{outcome: o}
 	if request.Method == "" {
 		request.Method = "GET"
 	}
 	if request.Path == "" {
 		request.Path = "/"
 	}
-	m.event(func() node.Event {
+	m.deliver(func() node.Event {
 		return node.RequestArrived{
 			Call: o.call, Key: request.Key, Token: request.Token, Service: request.Service,
 			Method: request.Method, Path: request.Path, IdempotencyKey: request.IdempotencyKey, Body: request.Body,
@@ -318,21 +318,21 @@
 		f()
 		return
 	}
-	o.notify = f
+	o.onDone = f
 }
 
 // Leave cancels the request as its caller does by disconnecting.
 func (o *Outcome) Leave() {
 	m := o.member
-	e, ok := m.entries[o.call]
+	e, ok := m.entryRequests[o.call]
 	if !ok || o.Done {
 		return
 	}
 	m.endOutcome(o, func(o *Outcome) { o.Done = true })
-	delete(m.entries, o.call)
-	m.event(func() node.Event { return node.CallerLeft{Call: o.call} })
+	delete(m.entryRequests, o.call)
+	m.deliver(func() node.Event { return node.CallerLeft{Call: o.call} })
 	if e.target != nil {
-		m.leaveRemote(e)
+		m.cancelRemote(e)
 	}
 }
 
@@ -342,7 +342,7 @@
 	}
 	fill(o)
 	o.Ended = m.rig.Now()
-	if o.notify != nil {
-		o.notify()
+	if o.onDone != nil {
+		o.onDone()
 	}
 }
--- a/core/nodetest/outage_test.go
+++ b/core/nodetest/outage_test.go
@@ -12,7 +12,7 @@
 // respond for 45 s. The slots' holders must continue within their lease terms. With
 // a lease term of 20 s, every request was refused as over the rate once the terms
 // had expired.
-func TestOutageWithinTheTermRefusesNobody(t *testing.T) {
+func TestOutageWithinLeaseTermRefusesNobody(t *testing.T) {
 	r, north, _ := newPair(11)
 	r.Run(30 * time.Second)
 	r.Table.Outage = true
@@ -35,7 +35,7 @@
 // all lease terms have expired, no node may grant tokens, because the rates could be
 // exceeded; requests must be refused at once as not run. Within a minute of the
 // platform's return, requests must be answered again.
-func TestLongOutageIsRecoveredFrom(t *testing.T) {
+func TestRecoveryFromLongOutage(t *testing.T) {
 	r, north, _ := newPair(12)
 	r.Run(30 * time.Second)
 	r.Table.Outage = true
--- a/core/nodetest/promises_test.go
+++ b/core/nodetest/promises_test.go
@@ -15,13 +15,13 @@
 
 const (
 	// attemptBudget is the attempt budget of one request over all services.
-	promisesBudget = 5
+	attemptBudget = 5
 	// callerTimeout is the timeout of each request.
-	promisesTimeout = 2 * time.Second
+	callerTimeout = 2 * time.Second
 	// leaseTerm is short, so that slots change their holders during the faults.
-	promisesTerm = 10 * time.Second
+	leaseTerm = 10 * time.Second
 	// faultPeriod is the time during which faults are injected.
-	trouble = 40 * time.Second
+	faultPeriod = 40 * time.Second
 )
 
 // tenant is an organisation with its key and its rate.
@@ -45,9 +45,9 @@
 	outcome *nodetest.Outcome
 }
 
-// deployment is a rig with three failure domains, a chain of services and random
-// faults.
-type world struct {
+// workload is a rig with three failure domains and a chain of services, the requests
+// sent to it and the faults injected.
+type workload struct {
 	rig     *nodetest.Rig
 	members []*nodetest.Member
 	sent    []sentRequest
@@ -57,8 +57,8 @@
 // services lists the service of each instance of a domain.
 var services = []coltsfootward.ServiceName{"front", "middle", "orders", "front"}
 
-func newWorld(seed uint64) *world {
-	w := &world{rig: nodetest.New(seed)}
+func newWorkload(seed uint64) *workload {
+	w := &workload{rig: nodetest.New(seed)}
 	domains := []coltsfootward.FailureDomain{"north", "south", "west"}
 	for _, t := range tenants {
 		w.rig.Submit(
@@ -67,12 +67,12 @@
 		)
 	}
 	for _, s := range []coltsfootward.ServiceName{"front", "middle", "orders"} {
-		w.rig.Submit(coltsfootward.Change{Service: &coltsfootward.Service{Name: s, Attempts: promisesBudget}})
+		w.rig.Submit(coltsfootward.Change{Service: &coltsfootward.Service{Name: s, Attempts: attemptBudget}})
 	}
 	for _, domain := range domains {
 		for i := range services {
 			id := coltsfootward.InstanceID(fmt.Sprintf("%s-%d", domain, i))
-			m := w.rig.Add(node.Options{Self: nodetest.Instance(id, domain), Domains: domains, LeaseTerm: promisesTerm})
+			m := w.rig.Add(node.Options{Self: nodetest.Instance(id, domain), Domains: domains, LeaseTerm: leaseTerm})
 			w.members = append(w.members, m)
 			w.serve(i, m)
 		}
@@ -80,21 +80,21 @@
 	return w
 }
 
-func (w *world) serve(index int, m *nodetest.Member) {
+func (w *workload) serve(index int, m *nodetest.Member) {
 	service := services[index%len(services)]
 	if service == "front" {
 		m.Backend.Children = func(h message.Call) []nodetest.Request {
-			return []nodetest.Request{{Service: "middle", Path: h.Path, Timeout: promisesTimeout}}
+			return []nodetest.Request{{Service: "middle", Path: h.Path, Timeout: callerTimeout}}
 		}
 	}
 	m.Announce(service, 4)
 }
 
 // send sends one request to a random node, dead or alive.
-func (w *world) send(t tenant, service coltsfootward.ServiceName, order string) {
+func (w *workload) send(t tenant, service coltsfootward.ServiceName, order string) {
 	m := w.members[w.rig.Source().IntN(len(w.members))]
 	path := fmt.Sprintf("/%d", len(w.sent))
-	request := nodetest.Request{Key: t.key, Service: service, Path: path, Timeout: promisesTimeout}
+	request := nodetest.Request{Key: t.key, Service: service, Path: path, Timeout: callerTimeout}
 	if service == "orders" {
 		request.Method = "POST"
 		request.IdempotencyKey = order
@@ -107,7 +107,7 @@
 // scheduleLoad schedules one request or order every 10 ms for d, each for a random
 // organisation. Each organisation sends about 40 requests a second with its repeated
 // orders, which is at least twice the two smaller rates.
-func (w *world) load(d time.Duration) {
+func (w *workload) scheduleLoad(d time.Duration) {
 	const interval = 10 * time.Millisecond
 	for elapsed := time.Duration(0); elapsed < d; elapsed += interval {
 		w.rig.After(elapsed, func() {
@@ -124,7 +124,7 @@
 
 // order sends an unrepeatable request and repeats it within 3 s through a random
 // node, as a caller does that has received no response.
-func (w *world) order(t tenant) {
+func (w *workload) order(t tenant) {
 	order := fmt.Sprintf("%s-order-%d", t.name, len(w.sent))
 	w.send(t, "orders", order)
 	w.rig.After(time.Duration(w.rig.Source().Int64N(int64(3*time.Second))), func() { w.send(t, "orders", order) })
@@ -132,62 +132,62 @@
 
 // scheduleFaults schedules one fault a second for d, at a random time within the
 // second.
-func (w *world) disturb(d time.Duration) {
+func (w *workload) scheduleFaults(d time.Duration) {
 	for at := 500 * time.Millisecond; at < d; at += time.Second {
-		w.rig.After(at+time.Duration(w.rig.Source().Int64N(int64(time.Second))), w.fault)
+		w.rig.After(at+time.Duration(w.rig.Source().Int64N(int64(time.Second))), w.injectFault)
 	}
 }
 
-func (w *world) fault() {
+func (w *workload) injectFault() {
 	source := w.rig.Source()
 	index := source.IntN(len(w.members))
 	m := w.members[index]
 	other := w.members[source.IntN(len(w.members))]
-	lasts := 50*time.Millisecond + time.Duration(source.Int64N(int64(6*time.Second)))
+	duration := 50*time.Millisecond + time.Duration(source.Int64N(int64(6*time.Second)))
 	switch source.IntN(8) {
 	case 0:
-		w.note("kill %s", m)
+		w.noteFault("kill %s", m)
 		m.Kill()
-		w.rig.After(lasts, func() {
+		w.rig.After(duration, func() {
 			if !m.Alive() {
 				m.Restart()
 				w.serve(index, m)
 			}
 		})
 	case 1:
-		w.note("pause %s", m)
+		w.noteFault("pause %s", m)
 		m.Pause()
-		w.rig.After(lasts, m.Resume)
+		w.rig.After(duration, m.Resume)
 	case 2:
-		w.note("suspend %s", m)
+		w.noteFault("suspend %s", m)
 		m.Suspend()
-		w.rig.After(lasts, m.Resume)
+		w.rig.After(duration, m.Resume)
 	case 3:
 		if m != other {
-			w.note("cut %s from "+string(other.Instance.ID), m)
+			w.noteFault("partition %s from "+string(other.Instance.ID), m)
 			w.rig.Cut(m.Instance.ID, other.Instance.ID)
-			w.rig.After(lasts, func() { w.rig.Heal(m.Instance.ID, other.Instance.ID) })
+			w.rig.After(duration, func() { w.rig.Heal(m.Instance.ID, other.Instance.ID) })
 		}
 	case 4:
-		w.note("cut the domain of %s", m)
+		w.noteFault("partition the domain of %s", m)
 		w.rig.CutDomain(m.Instance.Domain, true)
-		w.rig.After(lasts, func() { w.rig.HealDomain(m.Instance.Domain) })
+		w.rig.After(duration, func() { w.rig.HealDomain(m.Instance.Domain) })
 	case 5:
-		w.note("outage", m)
+		w.noteFault("outage", m)
 		w.rig.Table.Outage = true
-		w.rig.After(lasts, func() { w.rig.Table.Outage = false })
+		w.rig.After(duration, func() { w.rig.Table.Outage = false })
 	case 6:
-		w.note("lost answers", m)
+		w.noteFault("lost responses", m)
 		w.rig.Table.LoseAnswers = true
-		w.rig.After(lasts, func() { w.rig.Table.LoseAnswers = false })
+		w.rig.After(duration, func() { w.rig.Table.LoseAnswers = false })
 	case 7:
-		w.note("slow backend server %s", m)
+		w.noteFault("slow backend server %s", m)
 		m.Backend.ServiceTime = func(message.Call) time.Duration { return 300 * time.Millisecond }
-		w.rig.After(lasts, func() { m.Backend.ServiceTime = nil })
+		w.rig.After(duration, func() { m.Backend.ServiceTime = nil })
 	}
 }
 
-func (w *world) note(format string, m *nodetest.Member) {
+func (w *workload) noteFault(format string, m *nodetest.Member) {
 	text := format
 	if strings.Contains(format, "%s") {
 		text = fmt.Sprintf(format, m.Instance.ID)
@@ -196,7 +196,7 @@
 }
 
 // runsByPath returns the runs on all backend servers, grouped by the request's path.
-func (w *world) runsByPath() map[string][]*nodetest.Run {
+func (w *workload) runsByPath() map[string][]*nodetest.Run {
 	runs := make(map[string][]*nodetest.Run)
 	for _, m := range w.members {
 		for _, run := range m.Backend.Runs {
@@ -209,8 +209,8 @@
 // checkServed verifies that the guarantees were not met by refusing everything: a
 // third of all requests and a fifth of the orders must have been answered despite
 // the faults.
-func (w *world) checkServed(t *testing.T) {
-	var sent, answered, orders, ordered int
+func (w *workload) checkServed(t *testing.T) {
+	var sent, answered, orders, ordersAnswered int
 	for _, s := range w.sent {
 		sent++
 		if s.order != "" {
@@ -219,27 +219,27 @@
 		if s.outcome.Answered {
 			answered++
 			if s.order != "" {
-				ordered++
+				ordersAnswered++
 			}
 		}
 	}
-	t.Logf("answered %d of %d requests, among them %d of %d orders (repeated requests included)", answered, sent, ordered, orders)
-	if answered < sent/3 || ordered < orders/5 {
-		t.Errorf("got %d of %d requests and %d of %d orders answered, want a third and a fifth", answered, sent, ordered, orders)
+	t.Logf("answered %d of %d requests, among them %d of %d orders (repeated requests included)", answered, sent, ordersAnswered, orders)
+	if answered < sent/3 || ordersAnswered < orders/5 {
+		t.Errorf("got %d of %d requests and %d of %d orders answered, want a third and a fifth", answered, sent, ordersAnswered, orders)
 	}
 }
 
 // checkRequests compares the runs of every request with the outcome that its caller
 // received.
-func (w *world) checkRequests(t *testing.T) {
+func (w *workload) checkRequests(t *testing.T) {
 	runs := w.runsByPath()
-	told := make(map[string]bool)
+	mayHaveRun := make(map[string]bool)
 	for _, s := range w.sent {
 		if !s.outcome.Done {
 			t.Errorf("%s: has not ended", s.path)
 		}
-		ran := s.outcome.Refusal == nil || s.outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
-		told[s.path] = told[s.path] || ran
+		outcomeMayHaveRun := s.outcome.Refusal == nil || s.outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
+		mayHaveRun[s.path] = mayHaveRun[s.path] || outcomeMayHaveRun
 		for _, run := range runs[s.path] {
 			if run.Head.Organisation != s.tenant.name {
 				t.Errorf("%s: ran for %s, want %s", s.path, run.Head.Organisation, s.tenant.name)
@@ -248,13 +248,13 @@
 		if s.order != "" && len(runs[s.path]) > 1 {
 			t.Errorf("%s: got %d runs of an unrepeatable request, want at most 1", s.path, len(runs[s.path]))
 		}
-		if s.order == "" && len(runs[s.path]) > promisesBudget {
-			t.Errorf("%s: got %d attempts, want at most %d", s.path, len(runs[s.path]), promisesBudget)
+		if s.order == "" && len(runs[s.path]) > attemptBudget {
+			t.Errorf("%s: got %d attempts, want at most %d", s.path, len(runs[s.path]), attemptBudget)
 		}
 	}
-	for path, found := range runs {
-		if len(found) > 0 && !told[path] {
-			t.Errorf("%s: ran %d times, but the caller was told not_run", path, len(found))
+	for path, pathRuns := range runs {
+		if len(pathRuns) > 0 && !mayHaveRun[path] {
+			t.Errorf("%s: ran %d times, but the caller was told not_run", path, len(pathRuns))
 		}
 	}
 }
@@ -262,25 +262,25 @@
 // checkRates verifies that the root requests that started for each organisation stay
 // within its rate and burst over every time window. Child calls don't count, because
 // the root request's token covers them.
-func (w *world) checkRates(t *testing.T) {
+func (w *workload) checkRates(t *testing.T) {
 	for _, tenant := range tenants {
-		var began []time.Duration
+		var starts []time.Duration
 		for _, m := range w.members {
 			for _, run := range m.Backend.Runs {
 				if run.Head.Organisation == tenant.name && run.Head.Depth == 0 {
-					began = append(began, run.Began)
+					starts = append(starts, run.Began)
 				}
 			}
 		}
-		sort.Slice(began, func(i, j int) bool { return began[i] < began[j] })
+		sort.Slice(starts, func(i, j int) bool { return starts[i] < starts[j] })
 		// A token bucket that always admits a start: its debt after each start is
 		// the largest excess over the rate in any time window that ends there.
-		level, last := 0.0, time.Duration(0)
-		for _, at := range began {
-			level = max(level-tenant.rate.PerSecond*(at-last).Seconds(), 0) + 1
+		debt, last := 0.0, time.Duration(0)
+		for _, at := range starts {
+			debt = max(debt-tenant.rate.PerSecond*(at-last).Seconds(), 0) + 1
 			last = at
-			if level > float64(tenant.rate.Burst)+1e-6 {
-				t.Errorf("%s: got %.2f starts over the rate at %v, want at most the burst of %d", tenant.name, level, at, tenant.rate.Burst)
+			if debt > float64(tenant.rate.Burst)+1e-6 {
+				t.Errorf("%s: got %.2f starts over the rate at %v, want at most the burst of %d", tenant.name, debt, at, tenant.rate.Burst)
 				return
 			}
 		}
@@ -292,16 +292,16 @@
 // of the table are lost. Faults of every kind are injected at random, several at a
 // time, under load and with repeated requests. Afterwards every guarantee is checked
 // against the runs on the backend servers.
-func TestPromisesUnderRandomFaults(t *testing.T) {
+func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(seed)
+			w := newWorkload(seed)
 			w.rig.Run(15 * time.Second)
-			w.load(trouble)
-			w.disturb(trouble)
-			w.rig.Run(trouble + 20*time.Second)
+			w.scheduleLoad(faultPeriod)
+			w.scheduleFaults(faultPeriod)
+			w.rig.Run(faultPeriod + 20*time.Second)
 			w.checkServed(t)
 			w.checkRequests(t)
 			w.checkRates(t)
@@ -316,13 +316,13 @@
 
 // checkRecovered sends a light load after the faults and requires that every request
 // is answered.
-func (w *world) checkRecovered(t *testing.T) {
+func (w *workload) checkRecovered(t *testing.T) {
 	first := len(w.sent)
 	for range 20 {
 		w.send(tenants[0], "front", "")
 		w.rig.Run(100 * time.Millisecond)
 	}
-	w.rig.Run(promisesTimeout)
+	w.rig.Run(callerTimeout)
 	for _, s := range w.sent[first:] {
 		if !s.outcome.Answered {
 			t.Errorf("%s: got %v after the faults were over, want an answer", s.path, s.outcome.Refusal)
@@ -331,14 +331,14 @@
 }
 
 // checkWithdrawal withdraws a key and verifies 5 s later that every node refuses it.
-func (w *world) checkWithdrawal(t *testing.T) {
+func (w *workload) checkWithdrawal(t *testing.T) {
 	withdrawn := tenants[1]
 	w.rig.Submit(coltsfootward.Change{Key: &coltsfootward.Key{
 		ID: string(withdrawn.key), Digest: withdrawn.key, Organisation: withdrawn.name, Withdrawn: true,
 	}})
 	w.rig.Run(5 * time.Second)
 	for _, m := range w.members {
-		o := m.Send(nodetest.Request{Key: withdrawn.key, Service: "front", Timeout: promisesTimeout})
+		o := m.Send(nodetest.Request{Key: withdrawn.key, Service: "front", Timeout: callerTimeout})
 		w.rig.Run(time.Second)
 		if o.Refusal == nil || o.Refusal.Kind != coltsfootward.RefusalUnauthenticated {
 			t.Errorf("%s: got %+v for a key withdrawn 5 s ago, want %s", m.Instance.ID, o, coltsfootward.RefusalUnauthenticated)
--- a/core/nodetest/renewal_test.go
+++ b/core/nodetest/renewal_test.go
@@ -15,12 +15,12 @@
 // slow requests at once. The tokens have a lifetime of 50 ms, and the first two
 // requests occupy the slots for twice as long. Without renewal of the tokens only
 // these two would be answered, although the callers' timeouts are seconds.
-func TestQueueIsLongerThanATokenLives(t *testing.T) {
+func TestQueueOutlastsTokenLifetime(t *testing.T) {
 	r := nodetest.New(3)
 	domains := []coltsfootward.FailureDomain{"north", "south"}
-	whole := coltsfootward.Rate{PerSecond: 1000, Burst: 200}
+	rate := coltsfootward.Rate{PerSecond: 1000, Burst: 200}
 	r.Submit(
-		coltsfootward.Change{Organisation: &coltsfootward.Organisation{Name: "traders", Rate: whole}},
+		coltsfootward.Change{Organisation: &coltsfootward.Organisation{Name: "traders", Rate: rate}},
 		coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: key, Organisation: "traders"}},
 		coltsfootward.Change{Service: &coltsfootward.Service{Name: "quotes"}},
 	)
@@ -52,7 +52,7 @@
 // Guards against a slot leak: a caller cancels its request while the request holds a
 // slot and waits for a new token. If the slot were not released, the backend server
 // would lose its capacity slot by slot.
-func TestCallerLeavesDuringRenewal(t *testing.T) {
+func TestCallerCancelsDuringRenewal(t *testing.T) {
 	r, north, south := newPair(4)
 	south.Backend.ServiceTime = func(message.Call) time.Duration { return time.Second }
 	south.Announce("quotes", 1)
--- a/core/nodetest/rig.go
+++ b/core/nodetest/rig.go
@@ -14,7 +14,7 @@
 const (
 	// initialTime is the virtual time at which a rig starts. It is not zero, so
 	// that code that fails to initialise a time is noticed.
-	start = time.Hour
+	initialTime = time.Hour
 	// wallStart is the Unix time, in seconds, that the wall clocks show at the
 	// virtual time zero.
 	wallStart = 1_800_000_000
@@ -22,7 +22,7 @@
 	DefaultDelay = 500 * time.Microsecond
 	// breakDetectionDelay is the time after which a sender notices that a link is
 	// partitioned.
-	breakDelay = 200 * time.Millisecond
+	breakDetectionDelay = 200 * time.Millisecond
 )
 
 // Rig is a simulated deployment: nodes, the links between them and the
@@ -36,12 +36,12 @@
 	// DropMessage, if set, decides whether a message between nodes is lost.
 	DropMessage func(from, to coltsfootward.Instance) bool
 
-	source  *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	counter uint64
-	members map[coltsfootward.InstanceID]*Member
-	cut     map[link]bool
+	source         *rand.Rand
+	now            time.Duration
+	queue          eventQueue
+	scheduledCount uint64
+	members        map[coltsfootward.InstanceID]*Member
+	partitioned    map[link]bool
 }
 
 type link struct{ from, to coltsfootward.InstanceID }
@@ -49,17 +49,17 @@
 // New returns a rig without nodes. All random choices derive from seed.
 func New(seed uint64) *Rig {
 	r := &Rig{
-		source:  rand.New(rand.NewPCG(seed, seed)),
-		now:     start,
-		members: make(map[coltsfootward.InstanceID]*Member),
-		cut:     make(map[link]bool),
+		source:      rand.New(rand.NewPCG(seed, seed)),
+		now:         initialTime,
+		members:     make(map[coltsfootward.InstanceID]*Member),
+		partitioned: make(map[link]bool),
 	}
 	r.Table = newTable(r)
 	return r
 }
 
 // Now returns the virtual time that has passed since the rig was created.
-func (r *Rig) Now() time.Duration { return r.now - start }
+func (r *Rig) Now() time.Duration { return r.now - initialTime }
 
 // Wall returns the current reading of the nodes' wall clocks.
 func (r *Rig) Wall() time.Time { return time.Unix(wallStart, 0).UTC().Add(r.now) }
@@ -69,8 +69,8 @@
 
 // After schedules f to run after the virtual time d. A negative d counts as zero.
 func (r *Rig) After(d time.Duration, f func()) {
-	r.counter++
-	heap.Push(&r.queue, scheduled{at: r.now + max(d, 0), order: r.counter, run: f})
+	r.scheduledCount++
+	heap.Push(&r.queue, scheduled{at: r.now + max(d, 0), order: r.scheduledCount, run: f})
 }
 
 // Run advances the virtual time by d and runs the events that fall due.
@@ -99,32 +99,32 @@
 
 // Cut partitions the link between two instances in both directions.
 func (r *Rig) Cut(a, b coltsfootward.InstanceID) {
-	r.cut[link{a, b}] = true
-	r.cut[link{b, a}] = true
+	r.partitioned[link{a, b}] = true
+	r.partitioned[link{b, a}] = true
 }
 
 // Heal restores the link between two instances in both directions.
 func (r *Rig) Heal(a, b coltsfootward.InstanceID) {
-	delete(r.cut, link{a, b})
-	delete(r.cut, link{b, a})
+	delete(r.partitioned, link{a, b})
+	delete(r.partitioned, link{b, a})
 }
 
 // CutDomain partitions a failure domain from all others, and from the table as
 // well if table is set.
 func (r *Rig) CutDomain(domain coltsfootward.FailureDomain, table bool) {
-	r.eachCrossing(domain, r.Cut)
+	r.forEachCrossingLink(domain, r.Cut)
 	if table {
-		r.Table.setCut(domain, true)
+		r.Table.setDomainPartitioned(domain, true)
 	}
 }
 
 // HealDomain restores a failure domain's links to the others and to the table.
 func (r *Rig) HealDomain(domain coltsfootward.FailureDomain) {
-	r.eachCrossing(domain, r.Heal)
-	r.Table.setCut(domain, false)
+	r.forEachCrossingLink(domain, r.Heal)
+	r.Table.setDomainPartitioned(domain, false)
 }
 
-func (r *Rig) eachCrossing(domain coltsfootward.FailureDomain, apply func(a, b coltsfootward.InstanceID)) {
+func (r *Rig) forEachCrossingLink(domain coltsfootward.FailureDomain, apply func(a, b coltsfootward.InstanceID)) {
 	for _, a := range r.Members() {
 		for _, b := range r.Members() {
 			if a.Instance.Domain == domain && b.Instance.Domain != domain {
@@ -163,7 +163,7 @@
 }
 
 func (r *Rig) connected(from, to coltsfootward.InstanceID) bool {
-	return !r.cut[link{from, to}]
+	return !r.partitioned[link{from, to}]
 }
 
 // scheduled is an event that runs at a given virtual time.
--- a/core/nodetest/routed_test.go
+++ b/core/nodetest/routed_test.go
@@ -32,7 +32,7 @@
 // newRoutedRig returns a rig with the given number of nodes in each domain. Each node
 // has a backend server of the service quotes with four slots, and document is in
 // force.
-func newRouted(seed uint64, nodes int, document coltsfootward.Configuration, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
+func newRoutedRig(seed uint64, nodes int, document coltsfootward.Configuration, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
 	r := nodetest.New(seed)
 	var members []*nodetest.Member
 	for _, domain := range domains {
@@ -56,7 +56,7 @@
 }
 
 func TestRoutedRequestIsAnswered(t *testing.T) {
-	r, members := newRouted(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
+	r, members := newRoutedRig(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
 	o := get(members[0])
 	r.Run(time.Second)
 	if !o.Answered {
@@ -68,7 +68,7 @@
 // outage of the platform. The node receives the configuration from its peers and must
 // apply the routes as well as the other components.
 func TestNodeLearnsRoutesFromPeers(t *testing.T) {
-	r, members := newRouted(1, 2, routedDocument(7, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
+	r, members := newRoutedRig(1, 2, routedDocument(7, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
 	late := members[1]
 	late.Kill()
 	r.Run(time.Second)
@@ -88,9 +88,9 @@
 // node drains. A draining node serves its callers for some seconds more. If it
 // released its rate slots at once, its peers would still consider it the holder,
 // and for a second no part of the rate would respond to them.
-func TestLeavingNodeKeepsItsSlots(t *testing.T) {
+func TestDrainingNodeKeepsItsSlots(t *testing.T) {
 	for seed := range uint64(5) {
-		r, members := newRouted(seed, 3, routedDocument(1, coltsfootward.Rate{PerSecond: 300, Burst: 300}, "quotes"), "north")
+		r, members := newRoutedRig(seed, 3, routedDocument(1, coltsfootward.Rate{PerSecond: 300, Burst: 300}, "quotes"), "north")
 		for _, leaving := range members[:2] {
 			leaving.Drain()
 			for range 60 {
@@ -113,9 +113,9 @@
 // down. The server announces that it drains while requests wait for it, and stops two
 // seconds after the acknowledgement. The queued requests must move to another server at
 // once.
-func TestDrainEmptiesTheQueue(t *testing.T) {
+func TestBackendDrainEmptiesTheQueue(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 10000, Burst: 10000}, "quotes")
-	r, members := newRouted(1, 2, document, "north")
+	r, members := newRoutedRig(1, 2, document, "north")
 	leaving, other := members[0], members[1]
 	slow := func(message.Call) time.Duration { return 700 * time.Millisecond }
 	leaving.Backend.ServiceTime, other.Backend.ServiceTime = slow, slow
@@ -141,13 +141,13 @@
 // The only server of a service rejects one request in ten, whatever the load. A
 // rejection guarantees that nothing ran, so the node must retry the request at the same
 // server.
-func TestOnlyServerIsAskedAgain(t *testing.T) {
-	r, members := newRouted(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
+func TestRejectedRequestIsRetriedAtOnlyServer(t *testing.T) {
+	r, members := newRoutedRig(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
 	m := members[0]
-	rejected := 0
+	attempts := 0
 	m.Backend.Reject = func(message.Call) bool {
-		rejected++
-		return rejected%10 == 0
+		attempts++
+		return attempts%10 == 0
 	}
 	answered := 0
 	for range 80 {
@@ -157,8 +157,8 @@
 			answered++
 		}
 	}
-	if rejected < 87 || answered < 79 {
-		t.Errorf("%d of 80 answered with %d attempts, want at least 79 answered and 87 attempts", answered, rejected)
+	if attempts < 87 || answered < 79 {
+		t.Errorf("%d of 80 answered with %d attempts, want at least 79 answered and 87 attempts", answered, attempts)
 	}
 }
 
@@ -167,11 +167,11 @@
 // again. For the called service these calls are retries as well, and it cannot refuse
 // them. If they were not counted, each layer of a chain would add its own retry
 // share, and the last service would receive a multiple of it.
-func TestCallsOfARepeatAreRepeats(t *testing.T) {
+func TestChildCallsOfRetryAreRetries(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes", "feeds")
 	routes := document.Routes()
 	routes[1].Public = true
-	r, members := newRouted(1, 3, document.WithRoutes(routes), "north")
+	r, members := newRoutedRig(1, 3, document.WithRoutes(routes), "north")
 	members[2].Announce("feeds", 4)
 	r.Run(time.Second)
 	failed := false
@@ -207,8 +207,8 @@
 // Guards against a memory leak: each configuration here renames its route, and a node
 // that never dropped its statistics of removed routes would grow with each of
 // thousands of changes a day.
-func TestNodeForgetsRoutesThatAreGone(t *testing.T) {
-	r, members := newRouted(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
+func TestNodeDropsStateOfRemovedRoutes(t *testing.T) {
+	r, members := newRoutedRig(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
 	for revision := range coltsfootward.Revision(30) {
 		document := routedDocument(revision+2, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes")
 		routes := document.Routes()
@@ -231,9 +231,9 @@
 // knows yet which nodes hold the parts of the rate. If a part without a known holder
 // were treated like one whose holder does not respond, nodes would back off from it
 // for a second and refuse requests long after the holders are known.
-func TestRateIsThereSoonAfterLossOfPower(t *testing.T) {
+func TestRateIsAvailableSoonAfterPowerLoss(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 200, Burst: 200}, "quotes")
-	r, members := newRouted(1, 2, document, "north", "south")
+	r, members := newRoutedRig(1, 2, document, "north", "south")
 	for _, m := range members {
 		m.Kill()
 	}
--- a/core/nodetest/slot_test.go
+++ b/core/nodetest/slot_test.go
@@ -13,7 +13,7 @@
 
 // sendSlowly sends one request every 400 ms through the live members in turn until the
 // virtual time d, and returns the number of answered requests.
-func slowly(r *nodetest.Rig, members []*nodetest.Member, d time.Duration) int {
+func sendSlowly(r *nodetest.Rig, members []*nodetest.Member, d time.Duration) int {
 	var sent []*nodetest.Outcome
 	for i := 0; r.Now() < d; i++ {
 		if m := members[i%len(members)]; m.Alive() {
@@ -32,14 +32,14 @@
 
 // Guards against a small organisation being refused for a long time after the node that
 // holds the only part of its rate was killed for good.
-func TestPartOfAKilledHolderIsTakenOver(t *testing.T) {
+func TestPartOfKilledHolderIsTakenOver(t *testing.T) {
 	document := routedDocument(1, smallRate, "quotes")
 	for killed := range 8 {
-		r, members := newRouted(1, 4, document, "north", "south")
+		r, members := newRoutedRig(1, 4, document, "north", "south")
 		members[killed].Kill()
 		r.Run(8 * time.Second)
 		from := r.Now()
-		if answered := slowly(r, members, from+4*time.Second); answered < 7 {
+		if answered := sendSlowly(r, members, from+4*time.Second); answered < 7 {
 			t.Errorf("with %s killed: got %d answers in the 4 s from 8 s after the kill on, want at least 7", members[killed].Instance.ID, answered)
 		}
 	}
@@ -49,18 +49,18 @@
 // holder of its part was unreachable, another node took over, and the first holder
 // returns. The nodes' rosters may differ for one second, in which both holders may
 // grant tokens.
-func TestReturningHolderStartsEmpty(t *testing.T) {
+func TestReturningHolderStartsWithEmptyBucket(t *testing.T) {
 	document := routedDocument(1, smallRate, "quotes")
 	for round := range 12 {
-		cut := round % 4
-		r, members := newRouted(uint64(round), 4, document, "north")
+		partitioned := round % 4
+		r, members := newRoutedRig(uint64(round), 4, document, "north")
 		for _, other := range members {
-			if other != members[cut] {
-				r.Cut(members[cut].Instance.ID, other.Instance.ID)
+			if other != members[partitioned] {
+				r.Cut(members[partitioned].Instance.ID, other.Instance.ID)
 			}
 		}
 		var sent []*nodetest.Outcome
-		flood := func(d time.Duration) {
+		sendLoadFor := func(d time.Duration) {
 			for until := r.Now() + d; r.Now() < until; {
 				for _, m := range members {
 					sent = append(sent, get(m))
@@ -68,12 +68,12 @@
 				r.Run(50 * time.Millisecond)
 			}
 		}
-		flood(12 * time.Second)
+		sendLoadFor(12 * time.Second)
 		for _, other := range members {
-			r.Heal(members[cut].Instance.ID, other.Instance.ID)
+			r.Heal(members[partitioned].Instance.ID, other.Instance.ID)
 		}
 		healed := r.Now()
-		flood(5 * time.Second)
+		sendLoadFor(5 * time.Second)
 		r.Run(2 * time.Second)
 		answered := 0
 		for _, o := range sent {
@@ -81,10 +81,10 @@
 				answered++
 			}
 		}
-		const watched, differing = 5, 1 // seconds
-		bound := smallRate.Burst + int64((watched+differing)*smallRate.PerSecond)
+		const observedSeconds, rosterLagSeconds = 5, 1
+		bound := smallRate.Burst + int64((observedSeconds+rosterLagSeconds)*smallRate.PerSecond)
 		if int64(answered) > bound {
-			t.Errorf("with %s partitioned: got %d answers in the 5 s after the partition healed, want at most %d", members[cut].Instance.ID, answered, bound)
+			t.Errorf("with %s partitioned: got %d answers in the 5 s after the partition healed, want at most %d", members[partitioned].Instance.ID, answered, bound)
 		}
 	}
 }
--- a/core/nodetest/start_test.go
+++ b/core/nodetest/start_test.go
@@ -22,14 +22,14 @@
 	document       coltsfootward.Configuration
 	reads, follows int
 	// unavailableTo selects the nodes whose calls fail; nil means that none do.
-	away func(m *nodetest.Member) bool
+	unavailableTo func(m *nodetest.Member) bool
 }
 
 // serve performs the current document task of each live node once. following holds the
 // latest revision that each following node has received.
 func (s *documentStore) serve(members []*nodetest.Member, following map[*nodetest.Member]coltsfootward.Revision) {
 	for _, m := range members {
-		if !m.Alive() || s.away != nil && s.away(m) {
+		if !m.Alive() || s.unavailableTo != nil && s.unavailableTo(m) {
 			continue
 		}
 		switch m.Node().DocumentTask() {
@@ -80,7 +80,7 @@
 
 // Guards against several charged calls to the platform per node when a whole fleet
 // restarts.
-func TestRestartOfAFleetCallsThePlatformOnceANode(t *testing.T) {
+func TestFleetRestartLimitsPlatformCalls(t *testing.T) {
 	for seed := range uint64(3) {
 		r, members := newStart(seed)
 		r.Run(10 * time.Second)
@@ -106,7 +106,7 @@
 
 // Guards against nodes that keep calling the platform for the document while it is
 // unavailable, and against nodes that wait long after it has returned.
-func TestStartWhileThePlatformIsAway(t *testing.T) {
+func TestStartWhilePlatformIsUnavailable(t *testing.T) {
 	const outage = 5 * time.Second
 	r, members := newStart(1)
 	r.Run(10 * time.Second)
@@ -114,19 +114,19 @@
 	following := make(map[*nodetest.Member]coltsfootward.Revision)
 	r.Table.Outage = true
 	restartAll(r, members)
-	back := r.Now() + outage
-	store.away = func(*nodetest.Member) bool { return r.Now() < back }
-	asked := 0
-	for r.Now() < back {
+	outageEnd := r.Now() + outage
+	store.unavailableTo = func(*nodetest.Member) bool { return r.Now() < outageEnd }
+	requests := 0
+	for r.Now() < outageEnd {
 		r.Run(100 * time.Millisecond)
 		for _, m := range members {
-			if duty := m.Node().DocumentTask(); duty == node.DocumentRead || duty == node.DocumentFollow {
-				asked++
+			if task := m.Node().DocumentTask(); task == node.DocumentRead || task == node.DocumentFollow {
+				requests++
 			}
 		}
 	}
-	if asked > 0 {
-		t.Errorf("nodes requested the document %d times although the platform did not even return the contacts", asked)
+	if requests > 0 {
+		t.Errorf("nodes requested the document %d times although the platform did not even return the contacts", requests)
 	}
 	r.Table.Outage = false
 	for range 40 {
@@ -140,7 +140,7 @@
 
 // Guards against a whole failure domain missing a configuration change because the
 // platform is unavailable to the domain's nodes that follow the document.
-func TestChangeReachesADomainWhoseReadersAreTurnedAway(t *testing.T) {
+func TestChangeReachesDomainWithoutPlatformAccess(t *testing.T) {
 	r, members := newStart(2)
 	store := &documentStore{document: routedDocument(3, coltsfootward.Rate{PerSecond: 10, Burst: 10}, "quotes")}
 	following := make(map[*nodetest.Member]coltsfootward.Revision)
@@ -148,7 +148,7 @@
 		r.Run(100 * time.Millisecond)
 		store.serve(members, following)
 	}
-	store.away = func(m *nodetest.Member) bool { return m.Instance.Domain == "east" }
+	store.unavailableTo = func(m *nodetest.Member) bool { return m.Instance.Domain == "east" }
 	store.document = routedDocument(4, coltsfootward.Rate{PerSecond: 20, Burst: 20}, "quotes")
 	for range 20 {
 		r.Run(100 * time.Millisecond)
--- a/core/nodetest/table.go
+++ b/core/nodetest/table.go
@@ -14,7 +14,7 @@
 )
 
 // tableLatency is the duration of one operation on the table.
-const tableDelay = 2 * time.Millisecond
+const tableLatency = 2 * time.Millisecond
 
 // Table is a fake of the platform's table. Its fields may be changed while the
 // rig runs. It also implements coltsfootward.Table, whose methods return without
@@ -32,25 +32,25 @@
 	// records; a scan is not counted.
 	SlotReads, SlotWrites int
 
-	rig     *Rig
-	rows    map[string]coltsfootward.Row
-	version uint64
-	cut     map[coltsfootward.FailureDomain]bool
-	alone   map[coltsfootward.InstanceID]bool
+	rig                  *Rig
+	rows                 map[string]coltsfootward.Row
+	version              uint64
+	partitionedDomains   map[coltsfootward.FailureDomain]bool
+	partitionedInstances map[coltsfootward.InstanceID]bool
 }
 
 func newTable(r *Rig) *Table {
-	return &Table{rig: r, rows: make(map[string]coltsfootward.Row), cut: make(map[coltsfootward.FailureDomain]bool), alone: make(map[coltsfootward.InstanceID]bool)}
+	return &Table{rig: r, rows: make(map[string]coltsfootward.Row), partitionedDomains: make(map[coltsfootward.FailureDomain]bool), partitionedInstances: make(map[coltsfootward.InstanceID]bool)}
 }
 
-func (t *Table) setCut(domain coltsfootward.FailureDomain, cut bool) {
-	t.cut[domain] = cut
+func (t *Table) setDomainPartitioned(domain coltsfootward.FailureDomain, partitioned bool) {
+	t.partitionedDomains[domain] = partitioned
 }
 
 // CutInstance partitions one instance from the table, or restores its link to the
 // table if cut is false.
 func (t *Table) CutInstance(id coltsfootward.InstanceID, cut bool) {
-	t.alone[id] = cut
+	t.partitionedInstances[id] = cut
 }
 
 // perform carries out a table action of a node. The operation takes effect after
@@ -77,18 +77,18 @@
 		return
 	}
 	boot := m.boots
-	t.rig.After(tableDelay/2+t.Slow, func() {
-		rows, err := t.operate(m.Instance, run)
-		t.rig.After(tableDelay/2, func() {
+	t.rig.After(tableLatency/2+t.Slow, func() {
+		rows, err := t.execute(m.Instance, run)
+		t.rig.After(tableLatency/2, func() {
 			if m.boots == boot {
-				m.event(func() node.Event { return node.TableResult{Operation: id, Rows: rows, Err: err} })
+				m.deliver(func() node.Event { return node.TableResult{Operation: id, Rows: rows, Err: err} })
 			}
 		})
 	})
 }
 
-func (t *Table) operate(from coltsfootward.Instance, run func() ([]coltsfootward.Row, error)) ([]coltsfootward.Row, error) {
-	if t.cut[from.Domain] || t.alone[from.ID] {
+func (t *Table) execute(from coltsfootward.Instance, run func() ([]coltsfootward.Row, error)) ([]coltsfootward.Row, error) {
+	if t.partitionedDomains[from.Domain] || t.partitionedInstances[from.ID] {
 		return nil, coltsfootward.ErrUnavailable
 	}
 	return run()
@@ -96,7 +96,7 @@
 
 // result returns the outcome of an operation, or ErrUnavailable if responses are
 // being lost.
-func (t *Table) answer(err error) error {
+func (t *Table) result(err error) error {
 	if t.LoseAnswers {
 		return coltsfootward.ErrUnavailable
 	}
@@ -114,7 +114,7 @@
 	}
 	row := t.rows[key]
 	row.Key = key
-	return row, t.answer(nil)
+	return row, t.result(nil)
 }
 
 // Scan implements coltsfootward.Table.
@@ -129,7 +129,7 @@
 			found = append(found, t.rows[key])
 		}
 	}
-	return found, t.answer(nil)
+	return found, t.result(nil)
 }
 
 // Transact implements coltsfootward.Table.
@@ -139,7 +139,7 @@
 	}
 	for _, c := range transaction.Conditions {
 		if t.rows[c.Key].Version != c.Version {
-			return t.answer(coltsfootward.ErrConflict)
+			return t.result(coltsfootward.ErrConflict)
 		}
 	}
 	t.Writes++
@@ -149,7 +149,7 @@
 	for _, w := range transaction.Writes {
 		t.write(w)
 	}
-	return t.answer(nil)
+	return t.result(nil)
 }
 
 func (t *Table) write(w coltsfootward.Write) {
@@ -163,7 +163,7 @@
 
 // submit stores a change in the same form as a node that serves an operator.
 func (t *Table) submit(change coltsfootward.Change) {
-	change.Revision = coltsfootward.Revision(len(t.changes()) + 1)
+	change.Revision = coltsfootward.Revision(len(t.changeKeys()) + 1)
 	value, err := json.Marshal(change)
 	if err != nil {
 		panic(err)
@@ -172,7 +172,7 @@
 	t.write(coltsfootward.Write{Key: node.RevisionKey, Value: []byte(change.Revision.String())})
 }
 
-func (t *Table) changes() []string {
+func (t *Table) changeKeys() []string {
 	var keys []string
 	for key := range t.rows {
 		if strings.HasPrefix(key, node.ChangePrefix) {
