--- a/core/nodetest/evidence_test.go
+++ b/core/nodetest/evidence_test.go
@@ -43,13 +43,13 @@
 // Guards against refusals whose cause cannot be determined from the log.
 func TestRefusalRecordsNameTheCause(t *testing.T) {
 	tests := []struct {
-		name  string
-		code  record.Code
-		kind  coltsfootward.RefusalKind
-		rate  coltsfootward.Rate
-		slow  time.Duration
-		spoil func(members []*nodetest.Member)
-		want  []string
+		name        string
+		code        record.Code
+		kind        coltsfootward.RefusalKind
+		rate        coltsfootward.Rate
+		serviceTime time.Duration
+		setup       func(members []*nodetest.Member)
+		want        []string
 	}{
 		{"over the rate", record.RequestRefused, coltsfootward.RefusalOverRate, coltsfootward.Rate{PerSecond: 4, Burst: 4}, 0,
 			nil, []string{"organisation", "rate", "burst", "revision", "parts", "retry_after"}},
@@ -72,12 +72,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			r, members := newRoutedRig(1, 2, routedDocument(1, test.rate, "quotes"), "north", "south")
 			for _, m := range members {
-				if test.slow > 0 {
-					m.Backend.ServiceTime = func(message.Call) time.Duration { return test.slow }
+				if test.serviceTime > 0 {
+					m.Backend.ServiceTime = func(message.Call) time.Duration { return test.serviceTime }
 				}
 			}
-			if test.spoil != nil {
-				test.spoil(members)
+			if test.setup != nil {
+				test.setup(members)
 			}
 			for range 600 {
 				for _, m := range members {
