--- a/core/nodetest/attempt_test.go
+++ b/core/nodetest/attempt_test.go
@@ -89,11 +89,11 @@
 }
 
 // Guards against a request being dispatched more often, over all services, than
-// its attempt budget allows. This happens if an attempt is not charged against
-// the budget, if the allocation of a lost child call is given out a second time,
-// or if the attempts of a late child call are lost when its parent ends. Runs
-// fail, links are partitioned, nodes are killed and paused, and callers cancel
-// their requests or time out, in random order.
+// its attempt budget allows. This happens if one attempt of the budget is available
+// in two places, if the allocation of a lost child call is given out a second time,
+// or if the attempts of a late child call are not counted because its parent has
+// ended. Runs fail, links are partitioned, nodes are killed and paused, and callers
+// cancel their requests or time out, in random order.
 func TestAttemptsNeverExceedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := chainOptions{
--- a/core/nodetest/cold_test.go
+++ b/core/nodetest/cold_test.go
@@ -69,7 +69,8 @@
 	warm := r.Now()
 	later := sendLoad(r, members, 800, 2*time.Second)
 	r.Run(time.Second)
-	// Requests that started before the server announced that it is cold don't count.
+	// Requests that started before the server announced that it is cold don't count,
+	// because the node cannot withdraw them.
 	if got := maxStartsWhileCold(cold, from); got > maxColdStarts {
 		t.Errorf("%d requests reached the cold server in one second, want at most %d", got, maxColdStarts)
 	}
@@ -186,9 +187,9 @@
 }
 
 // Guards against requests, whether new, retried or queued, being sent to the servers
-// of a failure domain that an operator has taken out of service, and against failing the requests that callers
-// send to its nodes. When the domain returns, its servers are cold and must not
-// receive more than their cold rate allows.
+// of a failure domain that an operator has taken out of service, and against failing
+// the requests that callers send to its nodes. When the domain returns, its servers
+// are cold and must not receive more than their cold rate allows.
 func TestDomainOutOfServiceGetsNoRequests(t *testing.T) {
 	r, members := newColdRig(1, 2, "north", "south", "west")
 	sendLoad(r, members, 600, time.Second)
