--- a/core/nodetest/promises_test.go
+++ b/core/nodetest/promises_test.go
@@ -131,7 +131,7 @@
 }
 
 // scheduleFaults schedules one fault a second for d, at a random time within the
-// second.
+// second. Each fault ends after a random time of up to about 6 s.
 func (w *workload) scheduleFaults(d time.Duration) {
 	for at := 500 * time.Millisecond; at < d; at += time.Second {
 		w.rig.After(at+time.Duration(w.rig.Source().Int64N(int64(time.Second))), w.injectFault)
