--- a/io/caller/bench_test.go
+++ b/io/caller/bench_test.go
@@ -14,14 +14,14 @@
 	"coltsfootward/io/iotest"
 )
 
-// benchBody is as long as a quote's answer.
+// benchBody is as long as a typical response.
 var benchBody = make([]byte, 1<<10)
 
 func quote(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(benchBody) }
 
-// benchNodes runs an entry node and, if apart is set, another node with the
-// backend server beside it; else the backend server stands beside the entry node.
-func benchNodes(b *testing.B, apart bool) *iotest.Node {
+// benchNodes starts an entry node and returns it. The backend server belongs to a
+// second node if separate is set, and to the entry node otherwise.
+func benchNodes(b *testing.B, separate bool) *iotest.Node {
 	table := iotest.NewTable(
 		coltsfootward.Change{Organisation: &coltsfootward.Organisation{Name: "crews", Rate: coltsfootward.Rate{PerSecond: 1e9, Burst: 1e9}}},
 		coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: coltsfootward.DigestKey(callerKey), Organisation: "crews"}},
@@ -29,13 +29,13 @@
 	)
 	domains := []coltsfootward.FailureDomain{"north"}
 	entry := iotest.Start(b, node.Options{Self: coltsfootward.Instance{ID: "north-1", Domain: "north"}, Domains: domains}, table, nil)
-	beside := entry
-	if apart {
-		beside = iotest.Start(b, node.Options{Self: coltsfootward.Instance{ID: "north-2", Domain: "north"}, Domains: domains}, table, nil)
+	backendNode := entry
+	if separate {
+		backendNode = iotest.Start(b, node.Options{Self: coltsfootward.Instance{ID: "north-2", Domain: "north"}, Domains: domains}, table, nil)
 	}
 	server := httptest.NewServer(http.HandlerFunc(quote))
 	b.Cleanup(server.Close)
-	beside.Announce(b, server.Listener.Addr().String(), "archive", 128)
+	backendNode.Announce(b, server.Listener.Addr().String(), "archive", 128)
 	entry.AwaitUpstreams(b, 1)
 	return entry
 }
@@ -70,8 +70,8 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "µs-p99")
 }
 
-// processorTime returns what the process has used, which does not grow with
-// what else runs on the machine as times do.
+// processorTime returns the processor time used by the process. Unlike elapsed time,
+// it does not grow with the load of other processes on the machine.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/io/caller/doc.go
+++ b/io/caller/doc.go
@@ -1,3 +1,3 @@
-// Package caller serves callers over HTTP: those outside, and the local
-// backend server where it calls further services.
+// Package caller serves HTTP requests from external callers, and child calls
+// from the local backend server.
 package caller
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -14,32 +14,35 @@
 	"coltsfootward/io/peer"
 )
 
-// copyBuffer is how many bytes of an answer are copied at a time.
+// copyBuffer is the size of the buffers for response bodies in bytes.
 const copyBuffer = 32 << 10
 
-// copyBuffers keeps buffers for reuse: one of its own for each call was a third
-// of all memory that a node allocated.
+// copyBuffers is a pool of buffers for response bodies. Without it, a buffer per
+// call made up a third of all memory that a node allocated.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
-// exchange is one request on its way to its answer.
+// exchange is a caller's request and the response to it.
 type exchange struct {
-	face    *Face
+	handler *Handler
 	call    *loop.Call
 	request *http.Request
 	writer  http.ResponseWriter
 	body    []byte
 	header  map[string][]string
-	// refuse writes a refusal in the deployment's way.
+	// refuse writes a refusal in the deployment's format.
 	refuse func(http.ResponseWriter, coltsfootward.Refusal)
-	// keep is set while the answer's body, of which start has been read, may
-	// still be kept for repeats.
-	keep  bool
-	start []byte
-	// download is what has gone to the caller so far.
+	// retained is set while the response may still be retained for repeated
+	// requests with the same Idempotency-Key; prefix is the part of its body that
+	// has been received.
+	retained bool
+	prefix   []byte
+	// download is the state of the response that the caller is receiving.
 	download download
 }
 
-// run carries out the machine's actions for the request until it is answered.
+// run carries out the state machine's actions for the request until the response
+// is complete. It panics with http.ErrAbortHandler to abort a response that was
+// begun.
 func (e *exchange) run() {
 	for {
 		select {
@@ -48,9 +51,9 @@
 				return
 			}
 		case <-e.request.Context().Done():
-			e.face.loop.Post(node.CallerLeft{Call: e.call.ID})
+			e.handler.loop.Post(node.CallerLeft{Call: e.call.ID})
 			return
-		case <-e.face.loop.Done():
+		case <-e.handler.loop.Done():
 			if e.download.begun {
 				panic(http.ErrAbortHandler)
 			}
@@ -61,12 +64,12 @@
 	}
 }
 
-// perform reports whether the request is over.
+// perform carries out an action and reports whether the request has ended.
 func (e *exchange) perform(action node.Action) bool {
 	switch a := action.(type) {
 	case node.Refuse:
 		if e.download.begun {
-			panic(http.ErrAbortHandler) // the caller must not take the part that it has for whole
+			panic(http.ErrAbortHandler) // the caller must not take a truncated response for a complete one
 		}
 		e.refuse(e.writer, a.Refusal)
 		return true
@@ -80,99 +83,104 @@
 	}
 }
 
-// forward makes one attempt.
+// forward makes one attempt and reports whether the request has ended.
 func (e *exchange) forward(a node.Forward) bool {
 	ctx, cancel := context.WithTimeout(e.request.Context(), a.Head.Timeout)
 	defer cancel()
-	a.Head.Header = e.download.header(e.header)
-	answer, err := e.face.transport.Call(ctx, a.To, a.Head, e.body)
+	a.Head.Header = e.download.rangeHeader(e.header)
+	response, err := e.handler.transport.Call(ctx, a.To, a.Head, e.body)
 	if err != nil {
-		e.face.loop.Post(node.AttemptEnded{Call: e.call.ID, Kind: failedKind(err)})
+		e.handler.loop.Post(node.AttemptEnded{Call: e.call.ID, Kind: failureKind(err)})
 		return false
 	}
-	defer answer.Close()
-	if answer.Head.Refusal != nil {
-		return e.refused(answer)
+	defer response.Close()
+	if response.Head.Refusal != nil {
+		return e.endRefused(response)
 	}
-	e.face.loop.Post(node.AttemptEnded{
-		Call: e.call.ID, Kind: node.AttemptAnswered, Load: answer.Head.Load, Status: answer.Head.Status,
+	e.handler.loop.Post(node.AttemptEnded{
+		Call: e.call.ID, Kind: node.AttemptAnswered, Load: response.Head.Load, Status: response.Head.Status,
 	})
-	return e.answered(answer)
+	return e.relayResponse(response)
 }
 
-func failedKind(err error) node.AttemptKind {
-	var failed *peer.CallError
-	if errors.As(err, &failed) && !failed.Sent {
+func failureKind(err error) node.AttemptKind {
+	var callErr *peer.CallError
+	if errors.As(err, &callErr) && !callErr.Sent {
 		return node.AttemptUnsent
 	}
 	return node.AttemptLost
 }
 
-// refused reads the refusal's end, which says how many attempts were used.
-func (e *exchange) refused(answer *peer.Answer) bool {
+// endRefused reports to the state machine that a node refused the attempt. The
+// number of used attempts is in the message that ends the refusal; it is -1 if
+// that message was not received.
+func (e *exchange) endRefused(response *peer.Answer) bool {
 	ended := node.AttemptEnded{
-		Call: e.call.ID, Kind: node.AttemptRefused, Refusal: *answer.Head.Refusal, Load: answer.Head.Load,
+		Call: e.call.ID, Kind: node.AttemptRefused, Refusal: *response.Head.Refusal, Load: response.Head.Load,
 		Attempts: -1,
 	}
-	if _, err := io.Copy(io.Discard, answer); err == nil {
-		end, _ := answer.End()
+	if _, err := io.Copy(io.Discard, response); err == nil {
+		end, _ := response.End()
 		ended.Attempts = end.Attempts
 	}
-	e.face.loop.Post(ended)
+	e.handler.loop.Post(ended)
 	return false
 }
 
-// answered passes the answer on and reports whether the request is over. If a
-// body breaks off, its rest is fetched where that is possible; else the
-// connection to the caller ends, so that the caller never takes it for whole.
-func (e *exchange) answered(answer *peer.Answer) bool {
-	if !e.begin(answer) {
-		e.face.loop.Post(node.CallDone{Call: e.call.ID, Attempts: -1})
-		answer.Close()
+// relayResponse forwards the response to the caller and reports whether the
+// request has ended. If the body is truncated, the remainder is requested where
+// that is possible. Otherwise the connection to the caller is closed, so that the
+// caller does not take a truncated response for a complete one.
+func (e *exchange) relayResponse(response *peer.Answer) bool {
+	if !e.beginResponse(response) {
+		e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: -1})
+		response.Close()
 		panic(http.ErrAbortHandler)
 	}
-	e.keep = e.request.Header.Get(HeaderIdempotencyKey) != ""
-	whole := e.copy(answer)
-	if !whole && e.download.resumable() && e.request.Context().Err() == nil {
-		e.face.loop.Post(node.AnswerBroken{Call: e.call.ID})
+	e.retained = e.request.Header.Get(HeaderIdempotencyKey) != ""
+	complete := e.copyBody(response)
+	if !complete && e.download.resumable() && e.request.Context().Err() == nil {
+		e.handler.loop.Post(node.AnswerBroken{Call: e.call.ID})
 		return false
 	}
-	end, ok := answer.End()
+	end, ok := response.End()
 	if !ok {
 		end.Attempts = -1
 	}
-	e.face.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Whole: whole, Answer: e.kept(answer, whole)})
-	if !whole {
-		answer.Close()
+	e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Whole: complete, Answer: e.retainedResponse(response, complete)})
+	if !complete {
+		response.Close()
 		panic(http.ErrAbortHandler)
 	}
 	return true
 }
 
-// begin sends the answer's head to the caller, or checks that the answer is the
-// rest of what the caller has a part of.
-func (e *exchange) begin(answer *peer.Answer) bool {
+// beginResponse sends the response's head to the caller. If a part of an earlier
+// response was sent already, it instead reports whether this one continues it.
+func (e *exchange) beginResponse(response *peer.Answer) bool {
 	if e.download.begun {
-		return e.download.continues(answer)
+		return e.download.isContinuation(response)
 	}
-	e.download.begin(e.request.Method, answer)
+	e.download.begin(e.request.Method, response)
 	h := e.writer.Header()
-	for name, values := range answer.Head.Header {
+	for name, values := range response.Head.Header {
 		h[name] = values
 	}
-	e.writer.WriteHeader(answer.Head.Status)
+	e.writer.WriteHeader(response.Head.Status)
 	return true
 }
 
-// kept returns the answer for repeats of the request, or nil.
-func (e *exchange) kept(answer *peer.Answer, whole bool) *claim.Answer {
-	if !whole || !e.keep {
+// retainedResponse returns the response to retain for repeated requests, or nil if
+// it is incomplete, too large or not to be retained.
+func (e *exchange) retainedResponse(response *peer.Answer, complete bool) *claim.Answer {
+	if !complete || !e.retained {
 		return nil
 	}
-	return &claim.Answer{Status: answer.Head.Status, Header: answer.Head.Header, Body: e.start}
+	return &claim.Answer{Status: response.Head.Status, Header: response.Head.Header, Body: e.prefix}
 }
 
-// replay answers with the first request's answer.
+// replay writes the retained response of the first request with the same
+// Idempotency-Key.
 func (e *exchange) replay(a node.Replay) {
 	h := e.writer.Header()
 	for name, values := range a.Answer.Header {
@@ -180,38 +188,39 @@
 	}
 	h.Set(HeaderReplayed, "true")
 	e.writer.WriteHeader(a.Answer.Status)
-	_, _ = e.writer.Write(a.Answer.Body) // the caller may have left
+	_, _ = e.writer.Write(a.Answer.Body) // the caller may have disconnected
 }
 
-// note keeps the body's start as long as it is short enough to be kept whole.
-func (e *exchange) note(p []byte) {
-	if !e.keep {
+// retain adds p to the retained body. It discards the body once the size exceeds
+// node.MaximumKeptAnswer.
+func (e *exchange) retain(p []byte) {
+	if !e.retained {
 		return
 	}
-	e.start = append(e.start, p...)
-	if len(e.start) > node.MaximumKeptAnswer {
-		e.keep = false
-		e.start = nil
+	e.prefix = append(e.prefix, p...)
+	if len(e.prefix) > node.MaximumKeptAnswer {
+		e.retained = false
+		e.prefix = nil
 	}
 }
 
-// copy passes the body on as it arrives and reports whether it was whole.
-func (e *exchange) copy(answer *peer.Answer) bool {
+// copyBody forwards the body as it arrives and reports whether it is complete.
+func (e *exchange) copyBody(response *peer.Answer) bool {
 	flusher := http.NewResponseController(e.writer)
 	pooled := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(pooled)
 	buffer := pooled[:]
 	for {
-		n, err := answer.Read(buffer)
+		n, err := response.Read(buffer)
 		if n > 0 {
-			e.note(buffer[:n])
-			if _, failed := e.writer.Write(buffer[:n]); failed != nil {
-				e.download.validator = "" // it is the caller that has gone
+			e.retain(buffer[:n])
+			if _, writeErr := e.writer.Write(buffer[:n]); writeErr != nil {
+				e.download.validator = "" // the caller has disconnected, so the remainder must not be requested
 				return false
 			}
 			e.download.written += int64(n)
 			if n < copyBuffer {
-				_ = flusher.Flush() // a caller that left shows at the next write
+				_ = flusher.Flush() // if the caller has disconnected, the next write fails
 			}
 		}
 		if errors.Is(err, io.EOF) {
--- a/io/caller/face.go
+++ b/io/caller/face.go
@@ -26,55 +26,57 @@
 // DefaultMaximumBody is the default of Options.MaximumBody, in bytes.
 const DefaultMaximumBody = 1 << 20
 
-// Options are a face's settings. The zero value works.
+// Options are the settings of a Handler. The zero value is valid.
 type Options struct {
-	// MaximumBody bounds a request's body in bytes. Zero means DefaultMaximumBody.
+	// MaximumBody is the maximum size of a request body in bytes. Zero means
+	// DefaultMaximumBody.
 	MaximumBody int64
-	// Routed, if not nil, has requests routed by host and path, with the header
-	// fields that it names.
+	// Routed, if not nil, has requests routed by host and path. It gives the
+	// names of the header fields to use.
 	Routed *wire.Fields
-	// Local is set for the face towards the local backend server: its requests
-	// bring a call token instead of a key.
+	// Local is set for the handler that serves the local backend server, whose
+	// requests carry a call token instead of a key.
 	Local bool
 }
 
-// Face takes requests over HTTP and sees each to its answer. Create it with
-// New. It is safe for concurrent use.
-type Face struct {
+// Handler serves HTTP requests: it passes each to the node's state machine and
+// carries out the resulting actions until the response is written. Create it
+// with New. It is safe for concurrent use.
+type Handler struct {
 	loop      *loop.Loop
 	transport *peer.Transport
 	options   Options
 }
 
-// New returns a face with default options.
-func New(l *loop.Loop, t *peer.Transport) *Face {
+// New returns a Handler with default options.
+func New(l *loop.Loop, t *peer.Transport) *Handler {
 	return NewWithOptions(l, t, Options{})
 }
 
-// NewWithOptions returns a face.
-func NewWithOptions(l *loop.Loop, t *peer.Transport, options Options) *Face {
+// NewWithOptions returns a Handler with the given options.
+func NewWithOptions(l *loop.Loop, t *peer.Transport, options Options) *Handler {
 	if options.MaximumBody <= 0 {
 		options.MaximumBody = DefaultMaximumBody
 	}
-	return &Face{loop: l, transport: t, options: options}
+	return &Handler{loop: l, transport: t, options: options}
 }
 
-// Register adds the face's route, /{service}/{path}, to the router. It goes
-// last, since it matches every path.
-func (f *Face) Register(router *mux.Router) {
+// Register adds the route /{service}/{path} to the router. It must be the last
+// route to be registered, since it matches every path.
+func (h *Handler) Register(router *mux.Router) {
 	router.SkipClean(true)
 	router.UseEncodedPath()
-	router.HandleFunc("/{service}", f.serve)
-	router.HandleFunc("/{service}/{path:.*}", f.serve)
+	router.HandleFunc("/{service}", h.serve)
+	router.HandleFunc("/{service}/{path:.*}", h.serve)
 }
 
-func (f *Face) serve(w http.ResponseWriter, r *http.Request) {
-	event, key, refused := f.event(r)
+func (h *Handler) serve(w http.ResponseWriter, r *http.Request) {
+	event, key, refused := h.parseRequest(r)
 	if refused != nil {
 		writeRefusal(w, *refused)
 		return
 	}
-	body, refused := f.body(w, r)
+	body, refused := h.readBody(w, r)
 	if refused != nil {
 		writeRefusal(w, *refused)
 		return
@@ -84,20 +86,21 @@
 			"path, query, Idempotency-Key or body hold the caller's key, which no backend server may see: send it in Authorization only"))
 		return
 	}
-	call := f.loop.Open()
+	call := h.loop.Open()
 	defer call.Close()
 	event.Call = call.ID
 	if event.IdempotencyKey != "" {
 		event.Body = xxhash.Sum64(body)
 	}
-	e := &exchange{face: f, call: call, request: r, writer: w, body: body, header: PassedOn(r.Header, key), refuse: writeRefusal}
-	f.loop.Post(event)
+	e := &exchange{handler: h, call: call, request: r, writer: w, body: body, header: RequestFields(r.Header, key), refuse: writeRefusal}
+	h.loop.Post(event)
 	e.run()
 }
 
-// event reads what the decisions need from the request. The key leaves this
-// function only as a digest, and as a value to keep out of what is passed on.
-func (f *Face) event(r *http.Request) (node.RequestArrived, string, *coltsfootward.Refusal) {
+// parseRequest returns the event for the state machine and the caller's key. The
+// event contains only the key's digest; the key itself is returned so that it can
+// be removed from the forwarded request.
+func (h *Handler) parseRequest(r *http.Request) (node.RequestArrived, string, *coltsfootward.Refusal) {
 	e := node.RequestArrived{
 		Service:        coltsfootward.ServiceName(mux.Vars(r)["service"]),
 		Method:         r.Method,
@@ -108,40 +111,42 @@
 		return e, "", badRequest(fmt.Errorf("%s is longer than %d bytes", HeaderIdempotencyKey, maximumIdempotencyKey))
 	}
 	var err error
-	if e.Attempt, err = positive(r, HeaderAttempt, 1); err != nil {
+	if e.Attempt, err = positiveField(r, HeaderAttempt, 1); err != nil {
 		return e, "", badRequest(err)
 	}
-	milliseconds, err := positive(r, HeaderTimeout, 0)
+	milliseconds, err := positiveField(r, HeaderTimeout, 0)
 	if err != nil {
 		return e, "", badRequest(err)
 	}
 	e.Timeout = time.Duration(milliseconds) * time.Millisecond
-	if f.options.Local {
+	if h.options.Local {
 		e.Token = node.CallToken(r.Header.Get(HeaderCallToken))
 		if e.Token == "" {
-			return e, "", refuse(coltsfootward.RefusalCallToken, HeaderCallToken+" is missing")
+			return e, "", newRefusal(coltsfootward.RefusalCallToken, HeaderCallToken+" is missing")
 		}
 		return e, "", nil
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return e, "", refuse(coltsfootward.RefusalUnauthenticated, "Authorization is missing or not of the Bearer scheme")
+		return e, "", newRefusal(coltsfootward.RefusalUnauthenticated, "Authorization is missing or not of the Bearer scheme")
 	}
 	e.Key = coltsfootward.DigestKey(key)
 	return e, key, nil
 }
 
-// keyInContent reports whether the key stands where it would be passed on. It
-// can't be taken out of there without changing what the caller asks for.
+// keyInContent reports whether the path, the query, the Idempotency-Key or the
+// body contains the key. They are forwarded to the backend server, and the key
+// can't be removed from them without changing the request.
 func keyInContent(r *http.Request, body []byte, key string) bool {
-	places := []string{r.URL.Path, r.URL.EscapedPath(), r.URL.RawQuery, r.Header.Get(HeaderIdempotencyKey)}
+	contents := []string{r.URL.Path, r.URL.EscapedPath(), r.URL.RawQuery, r.Header.Get(HeaderIdempotencyKey)}
 	if query, err := url.QueryUnescape(r.URL.RawQuery); err == nil {
-		places = append(places, query)
+		contents = append(contents, query)
 	}
-	return holds(places, key) || bytes.Contains(body, []byte(key))
+	return containsKey(contents, key) || bytes.Contains(body, []byte(key))
 }
 
-// servicePath returns path and query below the service's name, as sent.
+// servicePath returns the path after the service's name and the query, escaped as
+// in the request.
 func servicePath(r *http.Request) string {
 	path := r.URL.EscapedPath()
 	_, rest, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -152,30 +157,30 @@
 	return rest
 }
 
-func (f *Face) body(w http.ResponseWriter, r *http.Request) ([]byte, *coltsfootward.Refusal) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.options.MaximumBody))
+func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *coltsfootward.Refusal) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.options.MaximumBody))
 	if err == nil {
 		return body, nil
 	}
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, refuse(coltsfootward.RefusalTooLarge, fmt.Sprintf("the body is larger than %d bytes", large.Limit))
+		return nil, newRefusal(coltsfootward.RefusalTooLarge, fmt.Sprintf("the body is larger than %d bytes", large.Limit))
 	}
-	return nil, refuse(coltsfootward.RefusalBadRequest, "the body broke off before its end")
+	return nil, newRefusal(coltsfootward.RefusalBadRequest, "the body broke off before its end")
 }
 
-// maximumIdempotencyKey bounds an idempotency key in bytes, since holders keep
-// many of them in memory.
+// maximumIdempotencyKey is the maximum length of an idempotency key in bytes.
+// Claim holders keep many keys in memory.
 const maximumIdempotencyKey = 255
 
-// maximumHeaderNumber bounds the numbers in header fields, so that they cannot
-// overflow a duration.
+// maximumHeaderNumber is the maximum of a number in a header field. It keeps a
+// number of milliseconds from overflowing a time.Duration.
 const maximumHeaderNumber = math.MaxInt32
 
-func positive(r *http.Request, name string, otherwise int) (int, error) {
+func positiveField(r *http.Request, name string, defaultValue int) (int, error) {
 	text := r.Header.Get(name)
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 || n > maximumHeaderNumber {
@@ -185,15 +190,15 @@
 }
 
 func badRequest(err error) *coltsfootward.Refusal {
-	return refuse(coltsfootward.RefusalBadRequest, err.Error())
+	return newRefusal(coltsfootward.RefusalBadRequest, err.Error())
 }
 
-func refuse(kind coltsfootward.RefusalKind, detail string) *coltsfootward.Refusal {
+func newRefusal(kind coltsfootward.RefusalKind, detail string) *coltsfootward.Refusal {
 	r := coltsfootward.NewRefusal(kind, detail)
 	return &r
 }
 
-// refusalBody is what a refused caller reads.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Kind         coltsfootward.RefusalKind `json:"kind"`
 	Execution    coltsfootward.Execution   `json:"execution"`
@@ -202,7 +207,7 @@
 	RetryAfterMS int64                     `json:"retry_after_ms"`
 }
 
-// writeRefusal answers with a refusal, at once.
+// writeRefusal writes a refusal as the response.
 func writeRefusal(w http.ResponseWriter, r coltsfootward.Refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -216,5 +221,5 @@
 		Kind: r.Kind, Execution: r.Execution, Detail: r.Detail, Remedy: r.Remedy(),
 		RetryAfterMS: r.RetryAfter.Milliseconds(),
 	}
-	_ = json.NewEncoder(w).Encode(body) // the caller may have left
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
--- a/io/caller/header.go
+++ b/io/caller/header.go
@@ -7,68 +7,74 @@
 	"coltsfootward/io/wire"
 )
 
-// The header fields that callers and backend servers use.
+// The names of the header fields used by callers and backend servers.
 const (
 	// HeaderTimeout is the caller's timeout in milliseconds.
 	HeaderTimeout = "Coltsfootward-Timeout-Ms"
-	// HeaderAttempt is the caller's own count of its repeats; the first is 1.
+	// HeaderAttempt is the number of the caller's own attempt; the first is 1.
 	HeaderAttempt = "Coltsfootward-Attempt"
-	// HeaderIdempotencyKey names a request that must not run twice.
+	// HeaderIdempotencyKey identifies a request that must not run twice.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderCallToken is what a backend server passes on with further calls.
+	// HeaderCallToken identifies the request that a backend server is serving. The
+	// backend server copies it to its child calls.
 	HeaderCallToken = "Coltsfootward-Call-Token"
-	// HeaderRequest names the request in answers, logs and the time line.
+	// HeaderRequest is the request's ID, used in responses, logs and the timeline.
 	HeaderRequest = "Coltsfootward-Request"
-	// HeaderOrganisation tells the backend server whom the request is for.
+	// HeaderOrganisation is the organisation that made the request, for the backend
+	// server.
 	HeaderOrganisation = "Coltsfootward-Organisation"
-	// HeaderExecution says in a refusal whether the request ran.
+	// HeaderExecution is set in a refusal and reports whether the request ran.
 	HeaderExecution = "Coltsfootward-Execution"
 	// HeaderRefusal is the kind of a refusal.
 	HeaderRefusal = "Coltsfootward-Refusal"
-	// HeaderReplayed marks an answer that is the first request's, kept for
-	// repeats of its Idempotency-Key.
+	// HeaderReplayed marks a response that was retained from an earlier request
+	// with the same Idempotency-Key.
 	HeaderReplayed = "Coltsfootward-Replayed"
-	// HeaderDeadline tells the backend server how many milliseconds are left.
+	// HeaderDeadline is the remaining time for the request in milliseconds, for the
+	// backend server.
 	HeaderDeadline = "Coltsfootward-Deadline-Ms"
 )
 
-// ownPrefix marks the fields that only nodes set.
-const ownPrefix = "Coltsfootward-"
+// reservedPrefix is the prefix of the fields that only nodes may set.
+const reservedPrefix = "Coltsfootward-"
 
-// credentialFields may hold the caller's key. They end at the entry node.
+// credentialFields are the fields that may contain the caller's key. The entry node
+// does not forward them.
 var credentialFields = map[string]bool{"Authorization": true, "Cookie": true, "X-Api-Key": true}
 
-// PassedOn returns the fields of a request that go to the backend server:
-// none that belong to the connection, none that may hold the caller's key and
-// none that only nodes set. A field whose name or value holds the key is left
-// out whatever it is.
-func PassedOn(h http.Header, key string) map[string][]string {
-	passed := make(map[string][]string, len(h))
+// RequestFields returns the header fields of a request that are forwarded to the
+// backend server. It omits hop-by-hop fields, credentials, fields that only nodes
+// may set, and any field whose name or value contains the caller's key. An empty
+// key matches nothing.
+func RequestFields(h http.Header, key string) map[string][]string {
+	forwarded := make(map[string][]string, len(h))
 	for name, values := range h {
-		if wire.HopField(h, name) || credentialFields[name] || strings.HasPrefix(name, ownPrefix) {
+		if wire.HopField(h, name) || credentialFields[name] || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
-		if key != "" && (holds(values, key) || containsFold(name, key)) {
+		if key != "" && (containsKey(values, key) || containsFold(name, key)) {
 			continue
 		}
-		passed[name] = values
+		forwarded[name] = values
 	}
-	return passed
+	return forwarded
 }
 
-// AnswerFields returns the fields of a backend server's answer that go back.
-func AnswerFields(h http.Header) map[string][]string {
-	passed := make(map[string][]string, len(h))
+// ResponseFields returns the header fields of a backend server's response that are
+// forwarded to the caller. It omits hop-by-hop fields and fields that only nodes
+// may set.
+func ResponseFields(h http.Header) map[string][]string {
+	forwarded := make(map[string][]string, len(h))
 	for name, values := range h {
-		if wire.HopField(h, name) || strings.HasPrefix(name, ownPrefix) {
+		if wire.HopField(h, name) || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
-		passed[name] = values
+		forwarded[name] = values
 	}
-	return passed
+	return forwarded
 }
 
-func holds(values []string, key string) bool {
+func containsKey(values []string, key string) bool {
 	for _, value := range values {
 		if strings.Contains(value, key) {
 			return true
@@ -77,8 +83,8 @@
 	return false
 }
 
-// containsFold reports whether the text holds the key in any case: the names of
-// fields are brought into their canonical one.
+// containsFold reports whether the text contains the key, ignoring case. Field
+// names are canonicalised on receipt, so their case differs from that of the key.
 func containsFold(text, key string) bool {
 	return strings.Contains(strings.ToLower(text), strings.ToLower(key))
 }
--- a/io/caller/key_test.go
+++ b/io/caller/key_test.go
@@ -16,27 +16,27 @@
 	"coltsfootward/io/iotest"
 )
 
-// wire records every byte that passes its connections, both ways.
-type wire struct {
+// recorder records the bytes that are read from and written to its connections.
+type recorder struct {
 	mu    sync.Mutex
 	bytes bytes.Buffer
 }
 
-func (w *wire) note(p []byte) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.bytes.Write(p)
+func (r *recorder) record(p []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.bytes.Write(p)
 }
 
-func (w *wire) text() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.bytes.String()
+func (r *recorder) text() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.bytes.String()
 }
 
 type recordedListener struct {
 	net.Listener
-	wire *wire
+	recorder *recorder
 }
 
 func (l *recordedListener) Accept() (net.Conn, error) {
@@ -44,29 +44,29 @@
 	if err != nil {
 		return nil, err
 	}
-	return &recordedConn{Conn: c, wire: l.wire}, nil
+	return &recordedConn{Conn: c, recorder: l.recorder}, nil
 }
 
 type recordedConn struct {
 	net.Conn
-	wire *wire
+	recorder *recorder
 }
 
 func (c *recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.wire.note(p[:n])
+	c.recorder.record(p[:n])
 	return n, err
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
-	c.wire.note(p)
+	c.recorder.record(p)
 	return c.Conn.Write(p)
 }
 
-// A key that leaks into a log, a frame between nodes or a request to a backend
-// server works for whoever reads it there, until it is withdrawn. Callers put
-// keys where they don't belong, so the test does too.
-func TestKeyAppearsNowhere(t *testing.T) {
+// A caller's key that leaks into a log, a frame between nodes or a request to a
+// backend server can be used by anyone who reads it there, until it is withdrawn.
+// The test also puts the key into fields where it does not belong, as callers do.
+func TestCallerKeyDoesNotLeak(t *testing.T) {
 	const secret = "s3cret-key-of-the-inspectors"
 	table := iotest.NewTable(
 		coltsfootward.Change{Organisation: &coltsfootward.Organisation{Name: "inspectors", Rate: coltsfootward.Rate{PerSecond: 1e6, Burst: 1e6}}},
@@ -74,15 +74,15 @@
 		coltsfootward.Change{Service: &coltsfootward.Service{Name: "results"}},
 	)
 	domains := []coltsfootward.FailureDomain{"north", "south"}
-	peers, upstreams := &wire{}, &wire{}
-	record := func(l net.Listener) net.Listener { return &recordedListener{Listener: l, wire: peers} }
+	peers, upstreams := &recorder{}, &recorder{}
+	record := func(l net.Listener) net.Listener { return &recordedListener{Listener: l, recorder: peers} }
 	north := iotest.Start(t, node.Options{Self: coltsfootward.Instance{ID: "north-1", Domain: "north"}, Domains: domains}, table, record)
 	south := iotest.Start(t, node.Options{Self: coltsfootward.Instance{ID: "south-1", Domain: "south"}, Domains: domains}, table, record)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		fmt.Fprint(w, "friction 0.43")
 	}))
-	server.Listener = &recordedListener{Listener: server.Listener, wire: upstreams}
+	server.Listener = &recordedListener{Listener: server.Listener, recorder: upstreams}
 	server.Start()
 	t.Cleanup(server.Close)
 	south.Announce(t, server.Listener.Addr().String(), "results", 4)
@@ -107,10 +107,10 @@
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if err != nil || response.StatusCode != http.StatusOK || string(body) != "friction 0.43" {
-			t.Errorf("header %v: got %d %q and %v, want an answer", header, response.StatusCode, body, err)
+			t.Errorf("header %v: got %d %q and %v, want 200 and the body", header, response.StatusCode, body, err)
 		}
 		if text := fmt.Sprint(response.Header); strings.Contains(text, secret) {
-			t.Errorf("the answer's header holds the key: %s", text)
+			t.Errorf("the response's header contains the key: %s", text)
 		}
 	}
 	for name, path := range map[string]string{
@@ -139,16 +139,16 @@
 		}
 	}
 	if peers.text() == "" || upstreams.text() == "" {
-		t.Fatal("nothing was recorded; the test looks in the wrong place")
+		t.Fatal("no bytes were recorded: the connections are not wrapped")
 	}
 	for place, text := range map[string]string{
-		"frames between nodes":        peers.text(),
-		"requests to backend servers": upstreams.text(),
-		"records of the entry node":   fmt.Sprint(north.Records()),
-		"records of the upstream's":   fmt.Sprint(south.Records()),
+		"frames between nodes":         peers.text(),
+		"requests to backend servers":  upstreams.text(),
+		"records of the entry node":    fmt.Sprint(north.Records()),
+		"records of the upstream node": fmt.Sprint(south.Records()),
 	} {
 		if strings.Contains(strings.ToLower(text), secret) {
-			t.Errorf("%s hold the key", place)
+			t.Errorf("%s contain the key", place)
 		}
 	}
 }
--- a/io/caller/responder.go
+++ b/io/caller/responder.go
@@ -9,41 +9,42 @@
 	"time"
 )
 
-// responder writes one answer in its turn. It implements http.ResponseWriter
-// and http.Flusher.
+// responder writes one response after the responses to the preceding requests on
+// the connection. It implements http.ResponseWriter and http.Flusher.
 type responder struct {
 	conn    *serverConn
 	header  http.Header
 	arrived time.Time
-	// turn is closed once the answers before this one have been written, done
-	// once this one has.
-	turn, done chan struct{}
-	request    *http.Request
-	begun      bool
-	dead       bool
-	chunked    bool
-	bodiless   bool
-	// left is how many bytes of the announced length are still to come;
-	// negative if none was announced.
-	left int64
-	// close is set if the connection ends with this answer.
+	// previous is closed once the preceding responses have been written or
+	// abandoned, and done once this one has.
+	previous, done chan struct{}
+	request        *http.Request
+	wroteHeader    bool
+	failed         bool
+	chunked        bool
+	noBody         bool
+	// remaining is the number of bytes of Content-Length that have not been written;
+	// it is negative if the header has no Content-Length.
+	remaining int64
+	// close is set if the connection is closed after this response.
 	close bool
 }
 
-func newResponder(c *serverConn, r *http.Request, arrived time.Time, turn chan struct{}) *responder {
-	return &responder{conn: c, header: make(http.Header), arrived: arrived, turn: turn, done: make(chan struct{}), request: r, left: -1}
+func newResponder(c *serverConn, r *http.Request, arrived time.Time, previous chan struct{}) *responder {
+	return &responder{conn: c, header: make(http.Header), arrived: arrived, previous: previous, done: make(chan struct{}), request: r, remaining: -1}
 }
 
-// Arrived returns when the request's first byte had arrived.
+// Arrived returns the time at which the request's first byte had arrived.
 func (w *responder) Arrived() time.Time { return w.arrived }
 
 // Header implements http.ResponseWriter.
 func (w *responder) Header() http.Header { return w.header }
 
-// awaitTurn reports whether the answers before this one have gone out.
-func (w *responder) awaitTurn() bool {
+// awaitPrevious waits until the preceding responses have been written. It reports
+// false if the connection has ended.
+func (w *responder) awaitPrevious() bool {
 	select {
-	case <-w.turn:
+	case <-w.previous:
 	case <-w.conn.ctx.Done():
 		return false
 	}
@@ -52,30 +53,31 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *responder) WriteHeader(status int) {
-	if w.begun {
+	if w.wroteHeader {
 		return
 	}
-	w.begun = true
-	if !w.awaitTurn() {
-		w.dead = true
+	w.wroteHeader = true
+	if !w.awaitPrevious() {
+		w.failed = true
 		return
 	}
-	_ = w.conn.net.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection shows at the write
-	w.frame(status)
+	_ = w.conn.net.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails
+	w.setFraming(status)
 	out := w.conn.writer
 	fmt.Fprintf(out, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	if err := w.header.Write(out); err != nil {
-		w.fail()
+		w.abortConnection()
 		return
 	}
 	if _, err := io.WriteString(out, "\r\n"); err != nil {
-		w.fail()
+		w.abortConnection()
 	}
 }
 
-// frame chooses how the end of the body shows.
-func (w *responder) frame(status int) {
-	w.bodiless = status == http.StatusNoContent || status == http.StatusNotModified ||
+// setFraming sets the header fields that delimit the body: Content-Length, chunked
+// encoding or the end of the connection.
+func (w *responder) setFraming(status int) {
+	w.noBody = status == http.StatusNoContent || status == http.StatusNotModified ||
 		w.request != nil && w.request.Method == http.MethodHead
 	w.header.Del("Transfer-Encoding")
 	if w.request != nil && w.request.Close || w.conn.isRetired() {
@@ -83,20 +85,21 @@
 	}
 	if length := w.header.Get("Content-Length"); length != "" {
 		if n, err := strconv.ParseInt(length, 10, 64); err == nil && n >= 0 {
-			w.left = n
+			w.remaining = n
 		}
-	} else if !w.bodiless {
-		w.frameUnknown()
+	} else if !w.noBody {
+		w.setFramingUnknownLength()
 	}
 	if w.close {
 		w.header.Set("Connection", "close")
 		return
 	}
-	w.conn.announceIdle(w.header)
+	w.conn.announceIdleTimeout(w.header)
 }
 
-// frameUnknown frames a body of unknown length.
-func (w *responder) frameUnknown() {
+// setFramingUnknownLength uses chunked encoding for a body of unknown length. For
+// HTTP/1.0 the end of the connection delimits the body.
+func (w *responder) setFramingUnknownLength() {
 	if w.request != nil && !w.request.ProtoAtLeast(1, 1) {
 		w.close = true
 		return
@@ -108,13 +111,13 @@
 // Write implements http.ResponseWriter.
 func (w *responder) Write(p []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
-	if w.dead {
-		return 0, errCallerLeft
+	if w.failed {
+		return 0, errCallerDisconnected
 	}
-	if w.bodiless || len(p) == 0 {
+	if w.noBody || len(p) == 0 {
 		return len(p), nil
 	}
-	if w.left >= 0 && int64(len(p)) > w.left {
+	if w.remaining >= 0 && int64(len(p)) > w.remaining {
 		return 0, http.ErrContentLength
 	}
 	out := w.conn.writer
@@ -129,66 +132,68 @@
 		_, err = io.WriteString(out, "\r\n")
 	}
 	if err != nil {
-		w.fail()
+		w.abortConnection()
 		return 0, err
 	}
-	if w.left >= 0 {
-		w.left -= int64(len(p))
+	if w.remaining >= 0 {
+		w.remaining -= int64(len(p))
 	}
 	return len(p), nil
 }
 
-// FlushError implements what http.ResponseController asks for.
+// FlushError flushes the response and returns the error. It is used by
+// http.ResponseController.
 func (w *responder) FlushError() error {
-	if w.dead || !w.begun {
+	if w.failed || !w.wroteHeader {
 		return nil
 	}
-	_ = w.conn.net.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection shows at the write
+	_ = w.conn.net.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails
 	if err := w.conn.writer.Flush(); err != nil {
-		w.fail()
+		w.abortConnection()
 		return err
 	}
 	return nil
 }
 
 // Flush implements http.Flusher.
-func (w *responder) Flush() { _ = w.FlushError() } // a caller that left shows in the request's context
+func (w *responder) Flush() { _ = w.FlushError() } // if the caller has disconnected, the request's context ends
 
-// fail ends a connection that can't be written to.
-func (w *responder) fail() {
-	w.dead = true
-	w.conn.cut()
+// abortConnection closes a connection after a failed write or a truncated response.
+func (w *responder) abortConnection() {
+	w.failed = true
+	w.conn.abort()
 }
 
-// errCallerLeft says that the caller has left before its answer was written.
-var errCallerLeft = errors.New("caller: the caller has left: stop making the answer")
+// errCallerDisconnected is returned by Write once the connection has ended.
+var errCallerDisconnected = errors.New("caller: caller disconnected before its response was written: stop writing the response")
 
-// finish writes the end of the answer and passes the turn on. An answer that is
-// shorter than announced is cut, so that it does not look whole.
+// finish writes the end of the response and releases the next one. If the body is
+// shorter than its Content-Length, finish closes the connection, so that the
+// caller does not take the response for a complete one.
 func (w *responder) finish() {
 	w.WriteHeader(http.StatusOK)
-	if w.dead {
+	if w.failed {
 		w.abandon()
 		return
 	}
-	if w.left > 0 && !w.bodiless {
-		w.fail()
+	if w.remaining > 0 && !w.noBody {
+		w.abortConnection()
 		w.abandon()
 		return
 	}
 	if w.chunked {
-		_, _ = io.WriteString(w.conn.writer, "0\r\n\r\n") // an error stays with the writer and shows at the flush
+		_, _ = io.WriteString(w.conn.writer, "0\r\n\r\n") // bufio.Writer keeps the error, and FlushError returns it
 	}
 	if w.FlushError() == nil && w.close {
-		w.conn.closeBehind()
+		w.conn.closeAfterResponse()
 	}
 	close(w.done)
 }
 
-// abandon passes the turn on from an answer that can't be written: what is
-// behind it finds the connection ended.
+// abandon releases the next response without writing this one. Since the connection
+// has ended, the following responses are not written either.
 func (w *responder) abandon() {
-	w.dead = true
+	w.failed = true
 	select {
 	case <-w.done:
 	default:
@@ -196,15 +201,16 @@
 	}
 }
 
-// closeBehind ends the connection behind the answer written last. What the
-// caller has sent behind it is not served; the caller sends it again elsewhere.
-func (c *serverConn) closeBehind() {
+// closeAfterResponse closes the connection for writing after the last response.
+// Further requests on it are not served; the caller sends them again on another
+// connection.
+func (c *serverConn) closeAfterResponse() {
 	c.mu.Lock()
 	c.closed = true
-	c.setIdleDeadline()
+	c.setIdleDeadlineLocked()
 	c.mu.Unlock()
 	if half, ok := c.net.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // the connection is closed in any case
+		_ = half.CloseWrite() // after an error the connection is closed all the same
 	}
 	c.cancel()
 }
--- a/io/caller/resume.go
+++ b/io/caller/resume.go
@@ -9,28 +9,29 @@
 	"coltsfootward/io/peer"
 )
 
-// download is what has been passed on of an answer, so that its rest can be
-// fetched if it breaks off.
+// download is the state of a response that is being sent to the caller. If the
+// response is truncated, the remainder of its body can be requested.
 type download struct {
-	// begun is set once the answer's head has gone to the caller.
+	// begun is set once the response's head has been sent to the caller.
 	begun bool
-	// written counts the bytes of the body that have.
+	// written is the number of bytes of the body that have been sent to the caller.
 	written int64
-	// total is the body's length by the first answer's head.
+	// total is the Content-Length of the first response.
 	total string
-	// validator is the strong one by which the rest is known to be of the same
-	// body; empty if the answer cannot be resumed.
+	// validator is the strong validator of the body, an entity tag or a date. It is
+	// empty if the download can't be resumed.
 	validator string
 }
 
-// begin notes the first answer's head. The rest of a body may be fetched only
-// if that is certain to be of the same body: the backend server gave a strong
-// validator and says that it serves ranges. A weak validator would let a
-// caller read half of one bulletin and half of another.
-func (d *download) begin(method string, answer *peer.Answer) {
+// begin records the head of the first response. The remainder of a body may be
+// requested only if it is certain to belong to the same body: the backend server
+// has given a strong validator and supports range requests. With a weak validator
+// a caller could receive the first half of one version and the second half of
+// another.
+func (d *download) begin(method string, response *peer.Answer) {
 	d.begun = true
-	head := http.Header(answer.Head.Header)
-	if method != http.MethodGet || answer.Head.Status != http.StatusOK || head.Get("Accept-Ranges") != "bytes" {
+	head := http.Header(response.Head.Header)
+	if method != http.MethodGet || response.Head.Status != http.StatusOK || head.Get("Accept-Ranges") != "bytes" {
 		return
 	}
 	if head.Get("Content-Encoding") != "" || head.Get("Content-Length") == "" {
@@ -40,9 +41,9 @@
 	d.validator = strongValidator(head)
 }
 
-// strongValidator returns the answer's strong validator, or the empty text. By
-// RFC 9110 a date is strong only if the body was left alone since: changed
-// twice within one second, it would bear the same date.
+// strongValidator returns the response's strong validator, or the empty string if it
+// has none. By RFC 9110 a date is strong only if the body has not changed for some
+// time before the response: two changes within one second have the same date.
 func strongValidator(head http.Header) string {
 	if tag := head.Get("ETag"); tag != "" {
 		if strings.HasPrefix(tag, "W/") {
@@ -55,38 +56,40 @@
 		return ""
 	}
 	sent, err := http.ParseTime(head.Get("Date"))
-	if err != nil || sent.Sub(modified) < minimumAge {
+	if err != nil || sent.Sub(modified) < minimumUnmodified {
 		return ""
 	}
 	return head.Get("Last-Modified")
 }
 
-// minimumAge is how long a body must have been left alone for its date to
-// identify it.
-const minimumAge = time.Minute
+// minimumUnmodified is the time without a modification after which Last-Modified
+// is a strong validator.
+const minimumUnmodified = time.Minute
 
-// resumable reports whether the rest can be fetched.
+// resumable reports whether the remainder of the body can be requested.
 func (d *download) resumable() bool { return d.validator != "" && d.written > 0 }
 
-// header returns the request's header with what asks for the rest.
-func (d *download) header(h map[string][]string) map[string][]string {
+// rangeHeader returns the request's header. After a part of the response has been
+// sent, it adds the fields that request the remainder.
+func (d *download) rangeHeader(h map[string][]string) map[string][]string {
 	if !d.begun {
 		return h
 	}
-	asking := make(map[string][]string, len(h)+2)
+	ranged := make(map[string][]string, len(h)+2)
 	for name, values := range h {
-		asking[name] = values
+		ranged[name] = values
 	}
-	asking["Range"] = []string{fmt.Sprintf("bytes=%d-", d.written)}
-	asking["If-Range"] = []string{d.validator}
-	return asking
+	ranged["Range"] = []string{fmt.Sprintf("bytes=%d-", d.written)}
+	ranged["If-Range"] = []string{d.validator}
+	return ranged
 }
 
-// continues reports whether the answer is the rest of the same body. With
-// another status the body has changed or the range was not understood.
-func (d *download) continues(answer *peer.Answer) bool {
-	head := http.Header(answer.Head.Header)
-	if answer.Head.Status != http.StatusPartialContent {
+// isContinuation reports whether the response is the remainder of the same body.
+// Any status but 206 means that the body has changed or that the backend server
+// has not applied the range.
+func (d *download) isContinuation(response *peer.Answer) bool {
+	head := http.Header(response.Head.Header)
+	if response.Head.Status != http.StatusPartialContent {
 		return false
 	}
 	if tag := head.Get("ETag"); tag != "" && strings.HasPrefix(d.validator, `"`) && tag != d.validator {
--- a/io/caller/resume_test.go
+++ b/io/caller/resume_test.go
@@ -17,7 +17,7 @@
 
 const callerKey = "key-of-the-field-crews"
 
-// startPair runs two nodes; the service archive has a backend server beside each.
+// startPair starts two nodes, each with a backend server of the service archive.
 func startPair(t *testing.T, handler http.Handler) (*iotest.Node, *iotest.Node) {
 	t.Helper()
 	table := iotest.NewTable(
@@ -57,10 +57,10 @@
 	return response, body, err
 }
 
-// A field crew downloads a trailer's run log and the backend server dies half
-// way. The crew must get the whole log, from another backend server, or see
-// that the download broke; never half of one version and half of another.
-func TestBrokenDownload(t *testing.T) {
+// A backend server fails in the middle of a download. The caller must receive the
+// complete body, with the remainder from another backend server, or see that the
+// download was aborted. It must never receive parts of two versions.
+func TestInterruptedDownload(t *testing.T) {
 	log := bytes.Repeat([]byte("friction 0.43\n"), 100_000)
 	other := bytes.Repeat([]byte("friction 0.51\n"), 100_000)
 	old := time.Now().Add(-time.Hour)
@@ -96,7 +96,7 @@
 					w.Header().Set("ETag", tag)
 				}
 				if number <= test.breaks {
-					w = &breaking{ResponseWriter: w, left: test.after}
+					w = &abortingWriter{ResponseWriter: w, remaining: test.after}
 				}
 				if !test.ranges {
 					w.Header().Set("Content-Length", strconv.Itoa(len(content)))
@@ -108,11 +108,11 @@
 			_, body, err := get(t, n, "/archive/run-17")
 			switch {
 			case err == nil && !bytes.Equal(body, log):
-				t.Errorf("got %d bytes as whole that are not the log of %d bytes", len(body), len(log))
+				t.Errorf("got a complete body of %d bytes that differs from the log of %d bytes", len(body), len(log))
 			case err == nil && !test.whole:
-				t.Error("got a whole log, want the download aborted")
+				t.Error("got the complete log, want the download aborted")
 			case err != nil && test.whole:
-				t.Errorf("got %v after %d bytes and %d attempts, want the whole log", err, len(body), served.Load())
+				t.Errorf("got %v after %d bytes and %d attempts, want the complete log", err, len(body), served.Load())
 			}
 			if got := served.Load(); got > node.DefaultAttempts {
 				t.Errorf("got %d attempts, want at most %d", got, node.DefaultAttempts)
@@ -121,18 +121,18 @@
 	}
 }
 
-// breaking breaks the connection off after some bytes of the body.
-type breaking struct {
+// abortingWriter aborts the connection after the given number of body bytes.
+type abortingWriter struct {
 	http.ResponseWriter
-	left int
+	remaining int
 }
 
-func (b *breaking) Write(p []byte) (int, error) {
-	if len(p) >= b.left {
-		_, _ = b.ResponseWriter.Write(p[:b.left])
+func (b *abortingWriter) Write(p []byte) (int, error) {
+	if len(p) >= b.remaining {
+		_, _ = b.ResponseWriter.Write(p[:b.remaining])
 		http.NewResponseController(b.ResponseWriter).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	b.left -= len(p)
+	b.remaining -= len(p)
 	return b.ResponseWriter.Write(p)
 }
--- a/io/caller/routed.go
+++ b/io/caller/routed.go
@@ -14,14 +14,14 @@
 	"coltsfootward/io/wire"
 )
 
-// bearer is the scheme under which callers send their keys.
+// bearer is the prefix of the Authorization field with a caller's key.
 const bearer = "Bearer "
 
-// ServeRouted serves a request that the configuration's routes send to a
-// service. It is the handler of a face whose options name the header fields.
-func (f *Face) ServeRouted(w http.ResponseWriter, r *http.Request) {
-	refuse := func(w http.ResponseWriter, refusal coltsfootward.Refusal) { f.writeRouted(w, r, refusal) }
-	event, refused := f.routedEvent(w, r)
+// ServeRouted serves a request whose service is found by the configuration's
+// routes. It requires Options.Routed.
+func (h *Handler) ServeRouted(w http.ResponseWriter, r *http.Request) {
+	refuse := func(w http.ResponseWriter, refusal coltsfootward.Refusal) { h.writeRoutedRefusal(w, r, refusal) }
+	event, refused := h.parseRoutedRequest(w, r)
 	if refused != nil {
 		refuse(w, *refused)
 		return
@@ -31,23 +31,23 @@
 		refuse(w, coltsfootward.NewRefusal(coltsfootward.RefusalBadRequest, "the body broke off before its end"))
 		return
 	}
-	call := f.loop.Open()
+	call := h.loop.Open()
 	defer call.Close()
 	event.Call = call.ID
-	e := &exchange{face: f, call: call, request: r, writer: w, body: body, header: f.options.Routed.PassedOn(r.Header), refuse: refuse}
-	f.loop.Post(event)
+	e := &exchange{handler: h, call: call, request: r, writer: w, body: body, header: h.options.Routed.PassedOn(r.Header), refuse: refuse}
+	h.loop.Post(event)
 	e.run()
 }
 
-// routedEvent reads what the decisions need from the request.
-func (f *Face) routedEvent(w http.ResponseWriter, r *http.Request) (node.RequestArrived, *coltsfootward.Refusal) {
-	fields := f.options.Routed
+// parseRoutedRequest returns the event for the state machine.
+func (h *Handler) parseRoutedRequest(w http.ResponseWriter, r *http.Request) (node.RequestArrived, *coltsfootward.Refusal) {
+	fields := h.options.Routed
 	ids := r.Header.Values(fields.Request)
 	if len(ids) != 1 || ids[0] == "" || len(ids[0]) > maximumRequestID {
-		return node.RequestArrived{}, refuse(coltsfootward.RefusalBadRequest, "give the request one name in "+fields.Request)
+		return node.RequestArrived{}, newRefusal(coltsfootward.RefusalBadRequest, "give the request one name in "+fields.Request)
 	}
 	if r.Host == "" || !strings.HasPrefix(r.RequestURI, "/") {
-		return node.RequestArrived{}, refuse(coltsfootward.RefusalBadRequest, "give a Host and a path that begins with a slash")
+		return node.RequestArrived{}, newRefusal(coltsfootward.RefusalBadRequest, "give a Host and a path that begins with a slash")
 	}
 	e := node.RequestArrived{
 		Routed:  true,
@@ -60,8 +60,8 @@
 		e.Key = coltsfootward.DigestKey(key)
 	}
 	if milliseconds, err := strconv.ParseInt(r.Header.Get(fields.Deadline), 10, 32); err == nil && milliseconds > 0 {
-		// What the request has waited behind others on its connection counts: its
-		// caller has been waiting as long.
+		// The caller's deadline includes the time that the request has waited behind
+		// others on its connection.
 		waited := time.Duration(0)
 		if a, ok := w.(interface{ Arrived() time.Time }); ok {
 			waited = time.Since(a.Arrived())
@@ -71,10 +71,11 @@
 	return e, nil
 }
 
-// maximumRequestID bounds a request's name in bytes, since it is logged.
+// maximumRequestID is the maximum length of a request ID in bytes. Request IDs are
+// logged.
 const maximumRequestID = 128
 
-// hostOf returns the host that a request names, without a port.
+// hostOf returns the request's host without the port.
 func hostOf(r *http.Request) string {
 	if !strings.Contains(r.Host, ":") {
 		return r.Host
@@ -85,9 +86,9 @@
 	return r.Host
 }
 
-// EagerIn returns which requests may be begun before those ahead of them on
-// their connection have been answered: those that may run twice. If an answer
-// ahead closes the connection, the caller sends all that is behind it again.
+// EagerIn returns a function for ServerOptions.Eager. It reports whether the
+// request's route permits the request to run twice: if an earlier response closes
+// the connection, the caller sends all requests after it again.
 func EagerIn(configuration func() coltsfootward.Configuration) func(*http.Request) bool {
 	return func(r *http.Request) bool {
 		route, ok := configuration().Route(hostOf(r), r.RequestURI)
@@ -95,23 +96,23 @@
 	}
 }
 
-// writeRouted answers a routed request with a refusal, at once.
-func (f *Face) writeRouted(w http.ResponseWriter, r *http.Request, refusal coltsfootward.Refusal) {
-	h := w.Header()
-	h.Set(f.options.Routed.Request, r.Header.Get(f.options.Routed.Request))
-	h.Set("Content-Type", "text/plain; charset=utf-8")
+// writeRoutedRefusal writes a refusal as the response to a routed request.
+func (h *Handler) writeRoutedRefusal(w http.ResponseWriter, r *http.Request, refusal coltsfootward.Refusal) {
+	header := w.Header()
+	header.Set(h.options.Routed.Request, r.Header.Get(h.options.Routed.Request))
+	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if refusal.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	text := refusal.Detail + "\n"
-	h.Set("Content-Length", strconv.Itoa(len(text)))
+	header.Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(RoutedStatus(refusal))
-	_, _ = io.WriteString(w, text) // the caller may have left
+	_, _ = io.WriteString(w, text) // the caller may have disconnected
 }
 
-// RoutedStatus returns the status of a refusal in a routed deployment, where the
-// status alone tells callers whether the request may have run: 429 and 503 say
-// that it has not and never will, 502 and 504 say nothing.
+// RoutedStatus returns the HTTP status of a refusal in a routed deployment, where
+// callers learn only from the status whether the request may have run: with 429
+// and 503 it has not run and never will, with 502 and 504 it may have run.
 func RoutedStatus(r coltsfootward.Refusal) int {
 	status := r.Status()
 	switch {
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -12,47 +12,49 @@
 	"coltsfootward/io/worker"
 )
 
-// The defaults of what callers may send, for a configuration that sets none.
+// Default limits, used where the configuration sets none.
 const (
 	defaultHeaderBytes   = 32 << 10
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 3 * time.Minute
-	// maximumBodies bounds the memory for the bodies of all requests in hand, in
-	// bytes. Beyond it requests with a body are refused: a node that is killed
-	// for its memory refuses everything.
-	maximumBodies = 48 << 20
-	// crowdedConnections is how many connections may be open before callers are
-	// asked to give idle ones up sooner than the limit says, and shortestIdle the
-	// shortest time that they are asked for.
+	// maximumBodyMemory is the maximum total size of the bodies of all pending
+	// requests in bytes. Beyond it, requests with a body are refused, since
+	// otherwise the node could be killed for lack of memory and lose all requests.
+	maximumBodyMemory = 48 << 20
+	// reducedIdleThreshold is the number of open connections above which the idle
+	// timeout that is announced to callers is reduced. It is not reduced below
+	// minimumIdleTimeout.
 	//
-	// Callers that are refused come back on a new connection each and keep the old
-	// one. Under an overload of 20 s a node held 1,800 of them, all idle, which was
-	// a third of its memory.
-	crowdedConnections = 128
-	shortestIdle       = time.Second
+	// Callers that are refused retry on a new connection and keep the old one open.
+	// In an overload of 20 s, 1,800 idle connections took a third of a node's
+	// memory.
+	reducedIdleThreshold = 128
+	minimumIdleTimeout   = time.Second
 )
 
-// ServerOptions are a server's settings. The zero value works.
+// ServerOptions are the settings of a Server. The zero value is valid.
 type ServerOptions struct {
-	// Limits returns what callers may send now; nil means the defaults.
+	// Limits returns the current limits on requests and connections; nil means the
+	// defaults.
 	Limits func() coltsfootward.Limits
-	// Eager reports whether a request may be begun before those ahead of it on
-	// its connection have been answered; nil means that none may.
+	// Eager reports whether a request may be started before the responses to the
+	// preceding requests on its connection are written; nil means that none may.
 	Eager func(*http.Request) bool
-	// MaximumBody bounds a request's body in bytes where the limits set nothing.
-	// Zero means DefaultMaximumBody.
+	// MaximumBody is the maximum size of a request body in bytes if Limits sets
+	// none. Zero means DefaultMaximumBody.
 	MaximumBody int64
 }
 
 // Server serves HTTP/1.1 to callers. Create it with NewServer. It is safe for
 // concurrent use.
 //
-// It differs from http.Server in what callers that pipeline need: requests are
-// read ahead and may run side by side, their answers go out in order, and a
-// caller that leaves is noticed whatever of its requests lies unread.
-// http.Server reads nothing ahead while a handler runs, so that a caller's second
-// request waits for the first, and it notices no close behind unread bytes, so
-// that backend servers work on for callers that have left.
+// Unlike http.Server, it supports callers that pipeline requests: it reads
+// requests ahead and may handle them concurrently, it writes the responses in the
+// order of the requests, and it detects that a caller has disconnected even when
+// further requests are unread. http.Server does not read ahead while a handler
+// runs, so a caller's second request waits for the first. Nor does it detect that
+// a connection was closed while there are unread bytes, so backend servers
+// continue to work for callers that have disconnected.
 type Server struct {
 	handler http.Handler
 	options ServerOptions
@@ -63,10 +65,10 @@
 	listener    net.Listener
 	connections map[*serverConn]struct{}
 	closing     bool
-	bodies      int64
+	bodyBytes   int64
 }
 
-// NewServer returns a server that serves nothing until Serve.
+// NewServer returns a server. Call Serve to accept connections.
 func NewServer(handler http.Handler, options ServerOptions) *Server {
 	if options.Limits == nil {
 		options.Limits = func() coltsfootward.Limits { return coltsfootward.Limits{} }
@@ -92,18 +94,19 @@
 			if s.isClosing() || errors.Is(err, net.ErrClosed) {
 				return http.ErrServerClosed
 			}
-			// Running out of descriptors is passing; ending the server is not.
-			time.Sleep(acceptPause)
+			// Accept may fail temporarily, as when the process has run out of file
+			// descriptors. The server must not stop because of that.
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.begin(accepted)
+		s.startConnection(accepted)
 	}
 }
 
-// acceptPause is how long accepting waits after a failure.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay between a failed Accept and the next one.
+const acceptRetryDelay = 20 * time.Millisecond
 
-func (s *Server) begin(accepted net.Conn) {
+func (s *Server) startConnection(accepted net.Conn) {
 	c := newServerConn(s, accepted)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,11 +115,11 @@
 		return
 	}
 	s.connections[c] = struct{}{}
-	s.start(c.read)
+	s.startTask(c.readRequests)
 }
 
-// start runs a task that Shutdown waits for.
-func (s *Server) start(task func()) {
+// startTask runs a task on the worker pool. Shutdown waits for its end.
+func (s *Server) startTask(task func()) {
 	s.wait.Add(1)
 	s.workers.Go(func() {
 		defer s.wait.Done()
@@ -124,21 +127,22 @@
 	})
 }
 
-// idleLimit returns how long a connection may stay idle from now on, in whole
-// seconds if that is less than the limit in force, and whether it is.
-func (s *Server) idleLimit() (limit time.Duration, shorter bool) {
+// currentIdleTimeout returns the idle timeout for the present number of open
+// connections, and whether it is less than the configured one. A reduced timeout
+// is a whole number of seconds.
+func (s *Server) currentIdleTimeout() (timeout time.Duration, shorter bool) {
 	s.mu.Lock()
 	open := len(s.connections)
 	s.mu.Unlock()
-	limit = s.limits().IdleTimeout
-	if open <= crowdedConnections || limit <= shortestIdle {
-		return limit, false
+	timeout = s.limits().IdleTimeout
+	if open <= reducedIdleThreshold || timeout <= minimumIdleTimeout {
+		return timeout, false
 	}
-	reduced := limit * crowdedConnections / time.Duration(open)
-	return max(reduced.Truncate(time.Second), shortestIdle), true
+	reduced := timeout * reducedIdleThreshold / time.Duration(open)
+	return max(reduced.Truncate(time.Second), minimumIdleTimeout), true
 }
 
-func (s *Server) forget(c *serverConn) {
+func (s *Server) removeConnection(c *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.connections, c)
@@ -150,16 +154,18 @@
 	return s.closing
 }
 
-// Retire lets callers go without cutting any off: connections with nothing in
-// hand are closed, the others with their next answer. New ones are still served.
+// Retire closes the open connections without aborting requests: a connection
+// without pending requests is closed at once, any other after its next response.
+// New connections are still served.
 func (s *Server) Retire() {
-	for _, c := range s.all() {
+	for _, c := range s.openConnections() {
 		c.retire()
 	}
 }
 
-// Shutdown takes no new connection, ends the idle ones and waits until the
-// others have had their answers, or until ctx ends; what is left then is cut.
+// Shutdown stops accepting connections, closes the idle ones and waits until the
+// others have received their responses. When ctx ends, it aborts the remaining
+// connections and returns the error of ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
@@ -180,14 +186,14 @@
 		return nil
 	case <-ctx.Done():
 	}
-	for _, c := range s.all() {
-		c.cut()
+	for _, c := range s.openConnections() {
+		c.abort()
 	}
 	<-finished
 	return ctx.Err()
 }
 
-func (s *Server) all() []*serverConn {
+func (s *Server) openConnections() []*serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*serverConn, 0, len(s.connections))
@@ -197,24 +203,25 @@
 	return all
 }
 
-// takeBody reserves memory for a body.
-func (s *Server) takeBody(bytes int64) bool {
+// reserveBody reserves memory for a body of the given size. It reports false if
+// maximumBodyMemory would be exceeded.
+func (s *Server) reserveBody(bytes int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.bodies+bytes > maximumBodies {
+	if s.bodyBytes+bytes > maximumBodyMemory {
 		return false
 	}
-	s.bodies += bytes
+	s.bodyBytes += bytes
 	return true
 }
 
-func (s *Server) returnBody(bytes int64) {
+func (s *Server) releaseBody(bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bodies -= bytes
+	s.bodyBytes -= bytes
 }
 
-// limits returns what callers may send, with the defaults filled in.
+// limits returns the current limits, with defaults for those that are not set.
 func (s *Server) limits() coltsfootward.Limits {
 	l := s.options.Limits()
 	if l.HeaderBytes <= 0 {
--- a/io/caller/server_conn.go
+++ b/io/caller/server_conn.go
@@ -18,26 +18,29 @@
 )
 
 const (
-	// maximumPipelined is how many requests of one connection may be in hand.
+	// maximumPipelined is the maximum number of pending requests per connection.
 	maximumPipelined = 32
-	// headerSlop is how much more than a header may be read with it: what the
-	// buffer holds of the body and of further requests.
-	headerSlop = 4096
-	// connBuffer is the size of a connection's buffers in bytes.
+	// headerReadAhead is the number of bytes that may be read beyond the maximum
+	// size of a header: the buffer may also receive a part of the body and of
+	// further requests.
+	headerReadAhead = 4096
+	// connBuffer is the size in bytes of each of a connection's two buffers.
 	connBuffer = 4096
-	// lingerTimeout bounds how long a closed connection is still read. Closed
-	// with bytes unread the socket is reset, and the reset takes the answer
-	// that was sent last with it.
+	// lingerTimeout limits how long bytes are still read from a connection after
+	// its last response. If a socket is closed while it has unread bytes, TCP sends
+	// a reset, and the caller may lose the last response.
 	lingerTimeout = 600 * time.Millisecond
-	// idleSlack is how much longer than the limit an idle connection stays: a
-	// request sent within the limit is still on its way then.
-	idleSlack = 500 * time.Millisecond
-	// writeTimeout bounds how long a caller may leave an answer unread.
+	// idleGrace is added to the idle timeout, since a request that was sent just
+	// before the timeout may still be in transit.
+	idleGrace = 500 * time.Millisecond
+	// writeTimeout limits how long a write may be blocked by a caller that does not
+	// read its response.
 	writeTimeout = 20 * time.Second
 )
 
-// serverConn is one connection of a caller. One goroutine reads requests, each
-// request has one, and the turn to write passes from each to the next.
+// serverConn is a connection from a caller. One goroutine reads the requests,
+// and each request is handled in a goroutine of its own. The responses are written
+// in the order of the requests.
 type serverConn struct {
 	server *Server
 	net    net.Conn
@@ -49,19 +52,21 @@
 	slots  chan struct{}
 
 	mu sync.Mutex
-	// inHand counts the requests that have been read and not yet answered.
-	inHand int
-	// retired is set once the connection is to be closed as soon as possible.
+	// pending counts the requests that have been read and have no complete
+	// response yet.
+	pending int
+	// retired is set if the connection is to be closed after the next response, or
+	// at once while no request is pending.
 	retired bool
-	// closed is set once the last answer has been written.
+	// closed is set once the last response has been written.
 	closed bool
-	// idleLimit is how long the connection may stay idle, as its caller was last
-	// told; zero means the limit in force.
-	idleLimit time.Duration
+	// announcedIdleTimeout is the reduced idle timeout in the last Keep-Alive
+	// field; zero means that the configured timeout applies.
+	announcedIdleTimeout time.Duration
 }
 
-// connReaders keeps read buffers for the next connections: callers that are refused
-// come back on a new one each.
+// connReaders is a pool of read buffers. New connections are frequent while callers
+// are refused, since each retry uses a new connection.
 var connReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, connBuffer) }}
 
 func newServerConn(s *Server, n net.Conn) *serverConn {
@@ -74,27 +79,28 @@
 	return c
 }
 
-// read reads requests until the caller leaves or the connection is closed.
-func (c *serverConn) read() {
+// readRequests reads and starts requests until the caller disconnects or the
+// connection is closed.
+func (c *serverConn) readRequests() {
 	defer func() {
 		c.reader.Reset(nil)
 		connReaders.Put(c.reader)
 	}()
-	defer c.server.forget(c)
+	defer c.server.removeConnection(c)
 	defer c.net.Close()
 	defer c.cancel()
-	turn := make(chan struct{})
-	close(turn)
+	previous := make(chan struct{})
+	close(previous)
 	for {
 		if !c.awaitRequest() {
 			return
 		}
 		arrived := time.Now()
 		request, body, failed := c.readRequest()
-		w := newResponder(c, request, arrived, turn)
-		turn = w.done
+		w := newResponder(c, request, arrived, previous)
+		previous = w.done
 		if failed != nil {
-			c.refuse(w, *failed)
+			c.refuseAndClose(w, *failed)
 			return
 		}
 		select {
@@ -102,17 +108,17 @@
 		case <-c.ctx.Done():
 			return
 		}
-		c.count(1)
-		c.server.start(func() { c.serve(w, request, body) })
+		c.addPending(1)
+		c.server.startTask(func() { c.serve(w, request, body) })
 	}
 }
 
-// awaitRequest waits for the first byte of a request. The idle limit counts only
-// while nothing is in hand.
+// awaitRequest waits for the first byte of a request and reports whether it
+// arrived. The idle timeout applies only while no request is pending.
 func (c *serverConn) awaitRequest() bool {
 	c.limit.Unbound()
 	for {
-		c.armIdle()
+		c.setIdleDeadline()
 		_, err := c.reader.Peek(1)
 		if err == nil && c.isClosed() {
 			c.linger()
@@ -124,55 +130,55 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return false
 		}
-		if c.idle() {
+		if c.isIdle() {
 			return false
 		}
 	}
 }
 
-func (c *serverConn) armIdle() {
+func (c *serverConn) setIdleDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.setIdleDeadline()
+	c.setIdleDeadlineLocked()
 }
 
-// setIdleDeadline is called with the lock held.
-func (c *serverConn) setIdleDeadline() {
+// setIdleDeadlineLocked sets the read deadline of a connection that waits for a
+// request. The caller must hold c.mu.
+func (c *serverConn) setIdleDeadlineLocked() {
 	deadline := time.Time{}
 	switch {
 	case c.closed:
 		deadline = time.Now().Add(lingerTimeout)
-	case c.inHand == 0 && c.retired:
+	case c.pending == 0 && c.retired:
 		deadline = time.Now()
-	case c.inHand == 0:
-		limit := c.idleLimit
-		if limit == 0 {
-			limit = c.server.limits().IdleTimeout
+	case c.pending == 0:
+		timeout := c.announcedIdleTimeout
+		if timeout == 0 {
+			timeout = c.server.limits().IdleTimeout
 		}
-		deadline = time.Now().Add(limit + idleSlack)
+		deadline = time.Now().Add(timeout + idleGrace)
 	}
-	_ = c.net.SetReadDeadline(deadline) // a closed connection shows at the next read
+	_ = c.net.SetReadDeadline(deadline) // on a closed connection the next read fails
 }
 
-// announceIdle tells the caller in an answer's header how long the connection may
-// stay idle behind it, where that is shorter than it may think.
-func (c *serverConn) announceIdle(h http.Header) {
-	limit, shorter := c.server.idleLimit()
+// announceIdleTimeout sets Keep-Alive in a response's header if the idle timeout
+// after that response is less than the configured one.
+func (c *serverConn) announceIdleTimeout(h http.Header) {
+	timeout, shorter := c.server.currentIdleTimeout()
 	if !shorter {
-		limit = 0
+		timeout = 0
 	} else {
-		h.Set("Keep-Alive", "timeout="+strconv.Itoa(int(limit/time.Second)))
+		h.Set("Keep-Alive", "timeout="+strconv.Itoa(int(timeout/time.Second)))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idleLimit = limit
+	c.announcedIdleTimeout = timeout
 }
 
-// idle reports whether nothing is in hand, so that the connection may end.
-func (c *serverConn) idle() bool {
+func (c *serverConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.inHand == 0
+	return c.pending == 0
 }
 
 func (c *serverConn) isClosed() bool {
@@ -181,22 +187,23 @@
 	return c.closed
 }
 
-func (c *serverConn) count(change int) {
+func (c *serverConn) addPending(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inHand += change
-	if c.inHand == 0 {
-		c.setIdleDeadline()
+	c.pending += delta
+	if c.pending == 0 {
+		c.setIdleDeadlineLocked()
 	}
 }
 
-// retire closes the connection with the next answer, or now if it is idle.
+// retire has the connection closed after the next response, or at once if no
+// request is pending.
 func (c *serverConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
-	if c.inHand == 0 {
-		c.setIdleDeadline()
+	if c.pending == 0 {
+		c.setIdleDeadlineLocked()
 	}
 }
 
@@ -206,16 +213,17 @@
 	return c.retired
 }
 
-func (c *serverConn) cut() {
+func (c *serverConn) abort() {
 	c.cancel()
 	c.net.Close()
 }
 
-// readRequest reads a request with its whole body.
+// readRequest reads a request and its complete body. It returns a refusal if the
+// request is invalid, too large or too slow.
 func (c *serverConn) readRequest() (*http.Request, []byte, *coltsfootward.Refusal) {
 	limits := c.server.limits()
-	_ = c.net.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)) // a closed connection shows at the read
-	c.limit.Bound(limits.HeaderBytes + headerSlop)
+	_ = c.net.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)) // on a closed connection the read fails
+	c.limit.Bound(limits.HeaderBytes + headerReadAhead)
 	request, err := http.ReadRequest(c.reader)
 	c.limit.Unbound()
 	if err != nil {
@@ -228,90 +236,93 @@
 func headerRefusal(err error) *coltsfootward.Refusal {
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
-		return refuse(coltsfootward.RefusalHeaderTooLarge, "the header is larger than allowed")
+		return newRefusal(coltsfootward.RefusalHeaderTooLarge, "the header is larger than allowed")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return refuse(coltsfootward.RefusalSlowRequest, "the request did not arrive in time")
+		return newRefusal(coltsfootward.RefusalSlowRequest, "the request did not arrive in time")
 	default:
-		return refuse(coltsfootward.RefusalBadRequest, "the request is not in HTTP/1.1")
+		return newRefusal(coltsfootward.RefusalBadRequest, "the request is not in HTTP/1.1")
 	}
 }
 
-// readBody reads a body of at most the limit.
+// readBody reads a request's body. It refuses a body that is larger than the
+// limit, arrives too slowly or is truncated.
 func (c *serverConn) readBody(r *http.Request, limits coltsfootward.Limits) ([]byte, *coltsfootward.Refusal) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	if r.ContentLength > limits.BodyBytes {
-		return nil, refuse(coltsfootward.RefusalTooLarge, "the body is larger than allowed")
+		return nil, newRefusal(coltsfootward.RefusalTooLarge, "the body is larger than allowed")
 	}
-	if r.Header.Get("Expect") == "100-continue" && c.idle() {
+	if r.Header.Get("Expect") == "100-continue" && c.isIdle() {
 		if _, err := c.net.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
-			return nil, refuse(coltsfootward.RefusalBadRequest, "the caller has left")
+			return nil, newRefusal(coltsfootward.RefusalBadRequest, "the caller has left")
 		}
 	}
 	var buffer bytes.Buffer
 	if r.ContentLength > 0 {
 		buffer.Grow(int(r.ContentLength))
 	}
-	_ = c.net.SetReadDeadline(time.Now().Add(limits.HeaderTimeout + bodyTimeout)) // a closed connection shows at the read
+	_ = c.net.SetReadDeadline(time.Now().Add(limits.HeaderTimeout + bodyTimeout)) // on a closed connection the read fails
 	n, err := io.Copy(&buffer, io.LimitReader(r.Body, limits.BodyBytes+1))
 	switch {
 	case n > limits.BodyBytes:
-		return nil, refuse(coltsfootward.RefusalTooLarge, "the body is larger than allowed")
+		return nil, newRefusal(coltsfootward.RefusalTooLarge, "the body is larger than allowed")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, refuse(coltsfootward.RefusalSlowRequest, "the body did not arrive in time")
+		return nil, newRefusal(coltsfootward.RefusalSlowRequest, "the body did not arrive in time")
 	case err != nil:
-		return nil, refuse(coltsfootward.RefusalBadRequest, "the body broke off before its end")
+		return nil, newRefusal(coltsfootward.RefusalBadRequest, "the body broke off before its end")
 	}
 	return buffer.Bytes(), nil
 }
 
-// bodyTimeout is how long a body may take to arrive.
+// bodyTimeout limits how long a body may take to arrive, in addition to the header
+// timeout.
 const bodyTimeout = 60 * time.Second
 
-// refuse answers a request that could not be read, and ends the connection:
-// where the next request begins is not known.
-func (c *serverConn) refuse(w *responder, r coltsfootward.Refusal) {
+// refuseAndClose writes a refusal for a request that could not be read, and closes
+// the connection, since the start of the next request is unknown.
+func (c *serverConn) refuseAndClose(w *responder, r coltsfootward.Refusal) {
 	w.close = true
 	writeRefusal(w, r)
 	w.finish()
 	c.linger()
 }
 
-// linger reads on for a short time after the last answer.
+// linger discards further input for up to lingerTimeout after the last response.
 func (c *serverConn) linger() {
-	_ = c.net.SetReadDeadline(time.Now().Add(lingerTimeout)) // a closed connection ends the copy as well
-	_, _ = io.Copy(io.Discard, c.net)                        // whatever comes is not served any more
+	_ = c.net.SetReadDeadline(time.Now().Add(lingerTimeout)) // on a closed connection the copy ends
+	_, _ = io.Copy(io.Discard, c.net)                        // requests are no longer served
 }
 
 // serve runs the handler for one request.
 func (c *serverConn) serve(w *responder, r *http.Request, body []byte) {
 	defer func() {
 		<-c.slots
-		c.count(-1)
+		c.addPending(-1)
 	}()
 	defer c.recoverAbort(w)
-	if !c.server.options.Eager(r) && !w.awaitTurn() {
+	if !c.server.options.Eager(r) && !w.awaitPrevious() {
 		return
 	}
-	if !c.server.takeBody(int64(len(body))) {
+	if !c.server.reserveBody(int64(len(body))) {
 		writeRefusal(w, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the node holds as many request bodies as it has memory for").
 			WithRetryAfter(time.Second))
 		w.finish()
 		return
 	}
-	defer c.server.returnBody(int64(len(body)))
+	defer c.server.releaseBody(int64(len(body)))
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	r.ContentLength = int64(len(body))
 	c.server.handler.ServeHTTP(w, r.WithContext(c.ctx))
 	w.finish()
 }
 
-// recoverAbort cuts the connection where a handler gave an answer up half-way,
-// so that the caller does not take what it has for whole.
+// recoverAbort closes the connection if the handler panicked, so that the caller
+// does not take a truncated response for a complete one. It panics again unless
+// the value is http.ErrAbortHandler.
 func (c *serverConn) recoverAbort(w *responder) {
 	if r := recover(); r != nil {
-		c.cut()
+		c.abort()
 		w.abandon()
 		if r != http.ErrAbortHandler { //nolint:errorlint // the value that was passed to panic
 			panic(r)
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -15,9 +15,9 @@
 	"coltsfootward/io/caller"
 )
 
-const serverWait = 5 * time.Second
+const serverTimeout = 5 * time.Second
 
-// serve runs a server for the handler and returns a connection to it.
+// serve starts a server for the handler and returns it with a connection to it.
 func serve(t *testing.T, handler http.HandlerFunc, options caller.ServerOptions) (*caller.Server, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,12 +28,12 @@
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		_ = server.Serve(listener) // it ends with the test
+		_ = server.Serve(listener) // returns when the test shuts the server down
 	}()
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = server.Shutdown(ctx) // connections that the test left open are cut
+		_ = server.Shutdown(ctx) // aborts connections that the test has left open
 		<-finished
 	})
 	c, err := net.Dial("tcp", listener.Addr().String())
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(serverWait)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(serverTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return server, c
@@ -54,7 +54,8 @@
 	}
 }
 
-// receive returns an answer's status and body and whether it ends the connection.
+// receive reads a response and returns its status, its body and whether it closes
+// the connection.
 func receive(t *testing.T, r *bufio.Reader) (int, string, bool) {
 	t.Helper()
 	response, err := http.ReadResponse(r, nil)
@@ -68,14 +69,16 @@
 	return response.StatusCode, string(body), response.Close
 }
 
-func getLine(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: quotes.example\r\n\r\n" }
+func getRequest(path string) string {
+	return "GET " + path + " HTTP/1.1\r\nHost: quotes.example\r\n\r\n"
+}
 
-func eager(*http.Request) bool { return true }
+func alwaysEager(*http.Request) bool { return true }
 
-// A caller sends three requests at once, and the first takes longest. The others
-// run beside it, yet the answers come in the order of the requests: in another
-// one the caller would take each for the answer to another request.
-func TestPipelinedAnswersKeepTheirOrder(t *testing.T) {
+// A caller pipelines three requests, and the first takes longest. The requests run
+// concurrently, but the responses must come in the order of the requests: otherwise
+// the caller would match responses to the wrong requests.
+func TestPipelinedResponsesKeepOrder(t *testing.T) {
 	first := make(chan struct{})
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
@@ -86,8 +89,8 @@
 		}
 		fmt.Fprint(w, r.URL.Path)
 	}
-	_, c := serve(t, handler, caller.ServerOptions{Eager: eager})
-	send(t, c, getLine("/1")+getLine("/2")+getLine("/3"))
+	_, c := serve(t, handler, caller.ServerOptions{Eager: alwaysEager})
+	send(t, c, getRequest("/1")+getRequest("/2")+getRequest("/3"))
 	r := bufio.NewReader(c)
 	for _, want := range []string{"/1", "/2", "/3"} {
 		if status, body, _ := receive(t, r); status != http.StatusOK || body != want {
@@ -96,9 +99,10 @@
 	}
 }
 
-// A request that must not run twice lies behind one whose answer closes the
-// connection. The caller sends it again, so it must not have run here.
-func TestUnrepeatableWaitsForItsTurn(t *testing.T) {
+// A request that must not run twice follows one whose response closes the
+// connection. The caller sends the second request again, so the server must not
+// have run it.
+func TestUnrepeatableRequestWaitsForPreviousResponse(t *testing.T) {
 	ran := make(chan string, 2)
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		ran <- r.URL.Path
@@ -112,17 +116,17 @@
 		t.Fatalf("got %q, closing %v, want /1 and true", body, closes)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("got %v behind the last answer, want the end of the connection", err)
+		t.Errorf("got %v after the last response, want the end of the connection", err)
 	}
 	if got := len(ran); got != 1 {
 		t.Errorf("got %d runs, want 1", got)
 	}
 }
 
-// A caller leaves while a further request of its lies unread behind the one in
-// service. The handler must hear of it at once: whatever works for a caller that
-// has gone is lost to those that wait.
-func TestLeavingIsNoticedBehindUnreadRequests(t *testing.T) {
+// A caller disconnects while its second request is unread and its first is being
+// handled. The handler's context must be cancelled at once: work for a caller that
+// has disconnected uses capacity that waiting requests need.
+func TestDisconnectIsDetectedWithUnreadRequests(t *testing.T) {
 	left := make(chan struct{})
 	began := make(chan struct{})
 	handler := func(_ http.ResponseWriter, r *http.Request) {
@@ -134,18 +138,19 @@
 		close(left)
 	}
 	_, c := serve(t, handler, caller.ServerOptions{})
-	send(t, c, getLine("/1")+getLine("/2"))
+	send(t, c, getRequest("/1")+getRequest("/2"))
 	<-began
 	c.Close()
 	select {
 	case <-left:
-	case <-time.After(serverWait):
-		t.Error("the handler did not hear that the caller left")
+	case <-time.After(serverTimeout):
+		t.Error("the handler's context was not cancelled after the caller had disconnected")
 	}
 }
 
-// An answer that breaks off must not look whole, whichever way its end shows.
-func TestBrokenAnswerDoesNotLookWhole(t *testing.T) {
+// A truncated response must not look complete, neither with Content-Length nor with
+// chunked encoding.
+func TestTruncatedResponseIsDetectable(t *testing.T) {
 	for _, length := range []string{"", "100"} {
 		handler := func(w http.ResponseWriter, _ *http.Request) {
 			if length != "" {
@@ -156,19 +161,19 @@
 			panic(http.ErrAbortHandler)
 		}
 		_, c := serve(t, handler, caller.ServerOptions{})
-		send(t, c, getLine("/"))
+		send(t, c, getRequest("/"))
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.ReadAll(response.Body); err == nil {
-			t.Errorf("length %q: the answer looks whole", length)
+			t.Errorf("length %q: the truncated response looks complete", length)
 		}
 	}
 }
 
-// Bad requests get their own status and end the connection, since nobody knows
-// where the next request begins.
+// Each kind of bad request gets its own status, and the connection is closed, since
+// the start of the next request is unknown.
 func TestBadRequestsAreRefused(t *testing.T) {
 	limits := func() coltsfootward.Limits {
 		return coltsfootward.Limits{HeaderBytes: 1 << 10, BodyBytes: 8, HeaderTimeout: 200 * time.Millisecond}
@@ -196,9 +201,9 @@
 	}
 }
 
-// A planned stop ends idle connections at once and lets those in hand have their
-// answers, with which they close.
-func TestShutdownCutsNobodyOff(t *testing.T) {
+// Shutdown must not abort a pending request: its connection is closed after the
+// response.
+func TestShutdownCompletesPendingRequests(t *testing.T) {
 	began := make(chan struct{})
 	end := make(chan struct{})
 	handler := func(w http.ResponseWriter, _ *http.Request) {
@@ -207,7 +212,7 @@
 		fmt.Fprint(w, "whole")
 	}
 	server, c := serve(t, handler, caller.ServerOptions{})
-	send(t, c, getLine("/"))
+	send(t, c, getRequest("/"))
 	<-began
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(context.Background()) }()
@@ -223,7 +228,8 @@
 	}
 }
 
-// A body of unknown length comes whole, in chunks.
+// Request and response bodies of unknown length arrive complete with chunked
+// encoding.
 func TestBodyOfUnknownLength(t *testing.T) {
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -241,16 +247,16 @@
 	}
 }
 
-// Callers that are refused come back on new connections and keep the old ones. At
-// hundreds of them a node that keeps each for as long as the limit says spends its
-// memory on connections that nobody uses. Callers are told a shorter time then, and
-// those that stay longer are closed; with few connections nothing changes.
-func TestCrowdedServerKeepsIdleConnectionsShorter(t *testing.T) {
+// Callers that are refused retry on new connections and keep the old ones open. If
+// hundreds of idle connections stay open for the configured idle timeout, they use
+// up the node's memory. With many connections the server announces a shorter
+// timeout and closes connections after it; with few connections nothing changes.
+func TestManyConnectionsReduceIdleTimeout(t *testing.T) {
 	handler := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 	limits := func() coltsfootward.Limits { return coltsfootward.Limits{IdleTimeout: 4 * time.Second} }
 	_, c := serve(t, handler, caller.ServerOptions{Limits: limits})
 	ask := func(c net.Conn) string {
-		send(t, c, getLine("/urea"))
+		send(t, c, getRequest("/urea"))
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -267,7 +273,7 @@
 			t.Fatal(err)
 		}
 		defer o.Close()
-		if err := o.SetDeadline(time.Now().Add(serverWait)); err != nil {
+		if err := o.SetDeadline(time.Now().Add(serverTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		others = append(others, o)
@@ -278,11 +284,11 @@
 		t.Fatalf("300 connections: got Keep-Alive %q, want timeout=1", got)
 	}
 	began := time.Now()
-	if _, err := last.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the plain end of a connection
+	if _, err := last.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // a net.Conn returns io.EOF unwrapped
 		t.Fatalf("got %v, want the end of the connection", err)
 	}
 	if took := time.Since(began); took < time.Second || took > 2500*time.Millisecond {
-		t.Errorf("the connection was closed after %v, want a little more than a second", took)
+		t.Errorf("the connection was closed after %v, want 1 s to 2.5 s", took)
 	}
 	if got := ask(c); got != "timeout=1" {
 		t.Errorf("the first connection: got Keep-Alive %q, want timeout=1", got)
