--- a/io/upstream/announce.go
+++ b/io/upstream/announce.go
@@ -12,22 +12,22 @@
 	"github.com/gorilla/mux"
 )
 
-// AnnouncePath is where a backend server announces itself to its node.
+// AnnouncePath is the path to which a backend server posts its Announcement.
 const AnnouncePath = "/.coltsfootward/announce"
 
-// maximumAnnouncement bounds an announcement in bytes.
+// maximumAnnouncement is the maximum size of an announcement in bytes.
 const maximumAnnouncement = 16 << 10
 
-// Announcement is what a backend server says of itself.
+// Announcement is the JSON body with which a backend server registers at its node.
 type Announcement struct {
 	Service coltsfootward.ServiceName `json:"service"`
-	// Address is the IP number and port that it serves HTTP on.
+	// Address is the IP address and port at which the backend server serves HTTP.
 	Address string `json:"address"`
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the backend server handles concurrently.
 	Slots int `json:"slots"`
-	// Connections is how many connections it accepts.
+	// Connections is the number of connections that the backend server accepts.
 	Connections int `json:"connections"`
-	// Draining is set when it takes no new work.
+	// Draining is set if the backend server accepts no new requests.
 	Draining bool `json:"draining"`
 }
 
@@ -42,7 +42,7 @@
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&a)
 	if err == nil {
-		err = a.check()
+		err = a.validate()
 	}
 	if err != nil {
 		http.Error(w, "upstream: announcement refused: "+err.Error(), http.StatusBadRequest)
@@ -53,7 +53,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (a Announcement) check() error {
+func (a Announcement) validate() error {
 	if a.Service == "" {
 		return fmt.Errorf("service is empty: name the service")
 	}
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -12,86 +12,88 @@
 	"coltsfootward/io/caller"
 )
 
-// errUnframed says that the end of an answer's body could not be told from a
-// connection that broke.
-var errUnframed = errors.New("upstream: answer without Content-Length or chunks: have the backend server frame its answers")
+// errUnframed is returned for a response whose body is delimited only by the end of
+// the connection, so that a truncated body can't be detected.
+var errUnframed = errors.New("upstream: response without Content-Length or chunked encoding: have the backend server set either")
 
-// checkHead refuses answers that cannot be passed on whole. A body that ends
-// with its connection looks whole when the backend server is killed half-way;
-// in a routed deployment such answers are part of the protocol. An answer to an
-// upgrade was not asked for.
+// checkHead rejects responses that can't be relayed safely. A body that is delimited
+// by the end of the connection looks complete even if the backend server was killed
+// before its end; in a routed deployment such responses are part of the protocol.
+// A 101 response is rejected, since upgrades are not requested.
 func (d *dispatch) checkHead(r *http.Response) error {
 	framed := r.ContentLength >= 0 || len(r.TransferEncoding) > 0 || r.Request.Method == http.MethodHead
 	if r.StatusCode < http.StatusOK || !framed && d.server.options.Routed == nil {
 		return errUnframed
 	}
-	d.keep = framed && !r.Close
-	d.lives = lives(r)
+	d.reusable = framed && !r.Close
+	d.keepAlive = keepAlive(r)
 	d.failed = r.StatusCode >= http.StatusInternalServerError
 	return nil
 }
 
-// answerFields returns the fields of the answer that go back to the caller.
-func (d *dispatch) answerFields(h http.Header) map[string][]string {
+// responseFields returns the header fields of the response that are forwarded to the
+// caller.
+func (d *dispatch) responseFields(h http.Header) map[string][]string {
 	if fields := d.server.options.Routed; fields != nil {
 		return fields.AnswerFields(h)
 	}
-	return caller.AnswerFields(h)
+	return caller.ResponseFields(h)
 }
 
-// passOn passes the answer to the peer and reports how that ended.
+// relay sends the response to the entry node and returns how the dispatch ended.
 //
-// In a routed deployment nothing is sent before the buffer is full or the body
-// whole: an answer that breaks off within it is then a failed attempt, after
-// which a request that may run twice is sent elsewhere, and not an answer that
-// its caller sees break. One that is whole by then goes with its end.
-func (d *dispatch) passOn(ctx context.Context, response *http.Response, cancel context.CancelFunc) node.DispatchKind {
-	keep := d.keep
-	d.keep = false
-	stall := time.AfterFunc(stallTimeout, cancel)
-	defer stall.Stop()
+// In a routed deployment it sends nothing before the buffer is full or the body is
+// complete. A response that is truncated before that counts as a failed attempt,
+// and a request that may run twice is sent to another backend server; otherwise its
+// caller would receive a truncated response. A response that is complete by then is
+// sent together with its end.
+func (d *dispatch) relay(ctx context.Context, response *http.Response, cancel context.CancelFunc) node.DispatchKind {
+	reusable := d.reusable
+	d.reusable = false
+	stallTimer := time.AfterFunc(stallTimeout, cancel)
+	defer stallTimer.Stop()
 	pooled := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(pooled)
 	buffer := pooled[:]
-	n, whole := 0, false
+	n, complete := 0, false
 	var err error
 	if d.server.options.Routed != nil {
 		n, err = io.ReadFull(response.Body, buffer)
-		whole = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) && d.atEnd(response, n)
-		if err != nil && !whole {
-			return d.failedKind(ctx, err)
+		complete = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) && d.isComplete(response, n)
+		if err != nil && !complete {
+			return d.failureKind(ctx, err)
 		}
 	}
-	if whole {
-		d.whole = &wholeAnswer{status: response.StatusCode, header: d.answerFields(response.Header), body: append([]byte(nil), buffer[:n]...)}
-	} else if kind := d.begin(response, buffer[:n]); kind != "" {
+	if complete {
+		d.buffered = &completeResponse{status: response.StatusCode, header: d.responseFields(response.Header), body: append([]byte(nil), buffer[:n]...)}
+	} else if kind := d.sendHead(response, buffer[:n]); kind != "" {
 		return kind
 	}
-	for !whole {
-		stall.Reset(stallTimeout)
+	for !complete {
+		stallTimer.Reset(stallTimeout)
 		n, err = response.Body.Read(buffer)
 		if n > 0 {
-			if _, failed := d.writer.Write(buffer[:n]); failed != nil {
+			if _, writeErr := d.writer.Write(buffer[:n]); writeErr != nil {
 				return node.DispatchCancelled
 			}
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			whole = true
+			complete = true
 		case err != nil && ctx.Err() != nil:
 			return node.DispatchCancelled
 		case err != nil:
 			return node.DispatchTruncated
 		}
 	}
-	d.keep = keep && d.stop()
+	d.reusable = reusable && d.stop()
 	return node.DispatchAnswered
 }
 
-// atEnd reports whether a body that ended after n bytes is whole. The library
-// gives one error for a body that ends before a buffer is full and for one that
-// ends before its own length.
-func (d *dispatch) atEnd(response *http.Response, n int) bool {
+// isComplete reports whether a body that ended after n bytes is complete.
+// io.ReadFull returns the same error for a body that is shorter than the buffer and
+// for one that is shorter than its Content-Length.
+func (d *dispatch) isComplete(response *http.Response, n int) bool {
 	if response.ContentLength >= 0 {
 		return int64(n) == response.ContentLength
 	}
@@ -99,31 +101,31 @@
 	return errors.Is(err, io.EOF)
 }
 
-// wholeAnswer is an answer that waits for its end.
-type wholeAnswer struct {
+// completeResponse is a buffered response that is to be sent with its end.
+type completeResponse struct {
 	status int
 	header map[string][]string
 	body   []byte
 }
 
-// end sends the end of the answer, and the answer with it if it is whole. The peer may
-// have left.
-func (d *dispatch) end(a node.EndAnswer) {
+// sendEnd sends the end of the response, together with the response itself if it is
+// buffered. Errors are ignored, since the entry node may have disconnected.
+func (d *dispatch) sendEnd(a node.EndAnswer) {
 	end := message.End{Attempts: a.Attempts, Needed: a.Needed}
-	if d.whole == nil {
+	if d.buffered == nil {
 		_ = d.writer.End(end)
 		return
 	}
-	head := message.Answer{Status: d.whole.status, Header: d.whole.header, Load: a.Load}
-	_ = d.writer.Whole(head, d.whole.body, end)
+	head := message.Answer{Status: d.buffered.status, Header: d.buffered.header, Load: a.Load}
+	_ = d.writer.Whole(head, d.buffered.body, end)
 }
 
-// begin sends the answer's head and the first part of its body; it returns how
-// the dispatch ended, or nothing.
-func (d *dispatch) begin(response *http.Response, first []byte) node.DispatchKind {
+// sendHead sends the response's head and the first bytes of its body. It returns how
+// the dispatch ended, or the empty string if it goes on.
+func (d *dispatch) sendHead(response *http.Response, first []byte) node.DispatchKind {
 	var load message.Load
 	d.server.loop.Inspect(func(n *node.Node) { load = n.LoadFor(d.head) })
-	head := message.Answer{Status: response.StatusCode, Header: d.answerFields(response.Header), Load: load}
+	head := message.Answer{Status: response.StatusCode, Header: d.responseFields(response.Header), Load: load}
 	if d.writer.Head(head) != nil {
 		return node.DispatchCancelled
 	}
--- a/io/upstream/doc.go
+++ b/io/upstream/doc.go
@@ -1,3 +1,4 @@
-// Package upstream speaks to the local backend server: it sends the requests
-// that the node dispatches and takes the backend server's announcements.
+// Package upstream communicates with the local backend server: it sends the requests
+// that the node dispatches, receives the backend server's announcements and checks
+// its health.
 package upstream
--- a/io/upstream/gate.go
+++ b/io/upstream/gate.go
@@ -12,23 +12,25 @@
 )
 
 var (
-	errAdmissionOver = errors.New("upstream: admission ended before the request was sent: it did not run")
-	errWithdrawn     = errors.New("upstream: request withdrawn before it was sent: it did not run")
-	errSentBefore    = errors.New("upstream: request was sent on another connection before: it is not sent twice")
+	errAdmissionExpired = errors.New("upstream: admission ended before the request was sent: it did not run")
+	errWithdrawn        = errors.New("upstream: request withdrawn before it was sent: it did not run")
+	errAlreadySent      = errors.New("upstream: request was sent on another connection before: it is not sent twice")
 )
 
-// gate stands before the first byte of one dispatch. It settles at one place
-// whether the request may have reached the backend server: a byte passes only
-// through an open gate, and a gate that was closed first never opens.
+// sendGate guards the first byte of a dispatched request. It is the only place that
+// decides whether the request may have reached the backend server: bytes are
+// written only if the gate admits the first one, and a gate that was closed before
+// that stays closed.
 //
-// Three failures show without it. A request that waited for a connection
-// longer than its admission lasts is sent all the same. A request whose caller
-// left is answered "not run" while the transport's own goroutine still sends
-// it. And net/http sends a request again by itself, on a reused connection
-// that broke, if it is a GET or carries an Idempotency-Key: an order runs
-// twice while the node has counted one attempt.
-type gate struct {
-	// admitted is asked once, just before the first byte.
+// It prevents three failures. A request that waited for a connection for longer
+// than its admission is valid would still be sent. A request whose caller has
+// disconnected would be reported as "not run" while a goroutine of the transport
+// still sends it. And net/http retries a request that is a GET or has an
+// Idempotency-Key when a reused connection fails, so that the request runs twice
+// while the node has counted one attempt.
+type sendGate struct {
+	// admitted reports whether the admission is still valid. It is called once, just
+	// before the first byte is written.
 	admitted func() bool
 
 	mu     sync.Mutex
@@ -36,52 +38,53 @@
 	closed bool
 }
 
-// pass is called for every write of the request on conn.
-func (g *gate) pass(conn *gatedConn) error {
+// check is called before every write of the request on conn. It returns an error
+// unless this connection may carry the request.
+func (g *sendGate) check(conn *gatedConn) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case g.conn == conn:
 		return nil
 	case g.conn != nil:
-		return errSentBefore
+		return errAlreadySent
 	case g.closed:
 		return errWithdrawn
 	case !g.admitted():
 		g.closed = true
-		return errAdmissionOver
+		return errAdmissionExpired
 	}
 	g.conn = conn
 	return nil
 }
 
-// withdraw closes the gate and reports whether no byte has passed it.
-func (g *gate) withdraw() bool {
+// withdraw closes the gate and reports whether no byte of the request was written.
+func (g *sendGate) withdraw() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
 	return g.conn == nil
 }
 
-// gatedConn is a connection to the backend server. HTTP/1.1 serves one request
-// on it at a time, so it has one gate at a time.
+// gatedConn is a connection to the backend server. With HTTP/1.1 it carries one
+// request at a time, so it has at most one gate.
 type gatedConn struct {
 	net.Conn
-	gate atomic.Pointer[gate]
+	gate atomic.Pointer[sendGate]
 }
 
 // Write implements net.Conn.
 func (c *gatedConn) Write(p []byte) (int, error) {
 	if g := c.gate.Load(); g != nil {
-		if err := g.pass(c); err != nil {
+		if err := g.check(c); err != nil {
 			return 0, err
 		}
 	}
 	return c.Conn.Write(p)
 }
 
-// dialTimeout bounds the making of a connection to the backend server, which
-// is on the same machine.
+// dialTimeout limits the time to connect to the backend server, which runs on the
+// same machine.
 const dialTimeout = time.Second
 
 func dialGated(ctx context.Context, network, address string) (net.Conn, error) {
--- a/io/upstream/health.go
+++ b/io/upstream/health.go
@@ -11,26 +11,27 @@
 	"coltsfootward/io/wire"
 )
 
-// healthTimeout bounds one health check. It waits for a slot of the backend
-// server like any request.
+// healthTimeout limits the duration of a health check. Like any request, a health
+// check may have to wait for a slot of the backend server.
 const healthTimeout = 500 * time.Millisecond
 
-// defaultHealthPath is asked where the configuration names no other path.
+// defaultHealthPath is used if the configuration sets no path.
 const defaultHealthPath = "/health"
 
-// Health is what a backend server answered to a health check.
+// Health is the result of a health check.
 type Health struct {
-	// ID names the backend server.
+	// ID identifies the backend server.
 	ID string
-	// Ready is set if it takes work.
+	// Ready is set if the backend server accepts requests.
 	Ready bool
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the backend server handles concurrently.
 	Slots int
-	// Cold is how much longer it is cold.
+	// Cold is the remaining time for which the backend server is cold.
 	Cold time.Duration
 }
 
-// CheckHealth asks the backend server at address how it is.
+// CheckHealth sends a health check to the backend server at address. It returns an
+// error if it can't connect or receives no response within 500 ms.
 func CheckHealth(address, path string, fields wire.Fields) (Health, error) {
 	if path == "" {
 		path = defaultHealthPath
@@ -47,17 +48,17 @@
 		return Health{}, fmt.Errorf("upstream: health check: %w", err)
 	}
 	defer response.Body.Close()
-	slots := slotsOf(response.Header.Get(fields.Load))
+	slots := parseSlots(response.Header.Get(fields.Load))
 	id := response.Header.Get(fields.Backend)
 	return Health{
 		ID: id, Ready: response.StatusCode == http.StatusOK && id != "" && slots > 0, Slots: slots,
-		Cold: coldOf(response.Header.Get(fields.Cold)),
+		Cold: parseCold(response.Header.Get(fields.Cold)),
 	}, nil
 }
 
-// coldOf reads a number of milliseconds; a field that is missing or can't be read
-// means none.
-func coldOf(text string) time.Duration {
+// parseCold parses a number of milliseconds. It returns zero for a missing or invalid
+// field.
+func parseCold(text string) time.Duration {
 	milliseconds, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || milliseconds < 0 {
 		return 0
@@ -65,8 +66,9 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// slotsOf reads the slots out of a load field: running, waiting, slots.
-func slotsOf(load string) int {
+// parseSlots returns the slots from a load field with the format "running, waiting,
+// slots". It returns zero for an invalid field.
+func parseSlots(load string) int {
 	parts := strings.Split(load, ",")
 	if len(parts) != 3 {
 		return 0
--- a/io/upstream/outcome_test.go
+++ b/io/upstream/outcome_test.go
@@ -20,7 +20,7 @@
 
 const callerKey = "key-of-the-traders"
 
-// start runs one node with the service orders and returns it.
+// start starts a node with the service orders and returns it.
 func start(t *testing.T) *iotest.Node {
 	t.Helper()
 	table := iotest.NewTable(
@@ -32,14 +32,15 @@
 	return iotest.Start(t, node.Options{Self: self, Domains: []coltsfootward.FailureDomain{"north"}}, table, nil)
 }
 
-// fragile is a backend server that breaks at a chosen point of each exchange.
-type fragile struct {
+// faultyServer is a backend server that fails at a chosen point of each exchange.
+type faultyServer struct {
 	listener net.Listener
 	// serve handles the n-th request on a connection, whose head has been read,
 	// and reports whether the connection stays open.
 	serve func(c net.Conn, r *http.Request, n int) bool
-	// closes says when connections are closed before a request's head was read.
-	closes closing
+	// closes is the point at which connections are closed before a request's head
+	// has been read.
+	closes closePoint
 	wait   sync.WaitGroup
 
 	mu    sync.Mutex
@@ -47,31 +48,31 @@
 	conns []net.Conn
 }
 
-// closing says when a fragile server closes a connection early.
-type closing string
+// closePoint is the point at which a faultyServer closes a connection early.
+type closePoint string
 
 const (
-	// closesNever lets every request's head be read.
-	closesNever closing = ""
-	// closesAtOnce closes as soon as the connection is accepted.
-	closesAtOnce closing = "at once"
-	// closesAtFirstByte closes once a byte of the request has arrived.
-	closesAtFirstByte closing = "at the first byte"
+	// closeNever reads the head of every request.
+	closeNever closePoint = ""
+	// closeOnAccept closes the connection as soon as it is accepted.
+	closeOnAccept closePoint = "at once"
+	// closeOnFirstByte closes the connection once a byte of the request has arrived.
+	closeOnFirstByte closePoint = "at the first byte"
 )
 
-func newFragile(t *testing.T, closes closing, serve func(net.Conn, *http.Request, int) bool) *fragile {
+func newFaultyServer(t *testing.T, closes closePoint, serve func(net.Conn, *http.Request, int) bool) *faultyServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("listen: %v", err)
 	}
-	f := &fragile{listener: l, closes: closes, serve: serve, runs: make(map[string]int)}
+	f := &faultyServer{listener: l, closes: closes, serve: serve, runs: make(map[string]int)}
 	f.wait.Go(f.accept)
 	t.Cleanup(f.close)
 	return f
 }
 
-func (f *fragile) close() {
+func (f *faultyServer) close() {
 	f.listener.Close()
 	f.mu.Lock()
 	for _, c := range f.conns {
@@ -81,7 +82,7 @@
 	f.wait.Wait()
 }
 
-func (f *fragile) accept() {
+func (f *faultyServer) accept() {
 	for {
 		c, err := f.listener.Accept()
 		if err != nil {
@@ -90,17 +91,17 @@
 		f.mu.Lock()
 		f.conns = append(f.conns, c)
 		f.mu.Unlock()
-		f.wait.Go(func() { f.take(c) })
+		f.wait.Go(func() { f.serveConn(c) })
 	}
 }
 
-func (f *fragile) take(c net.Conn) {
+func (f *faultyServer) serveConn(c net.Conn) {
 	defer c.Close()
-	if f.closes == closesAtOnce {
+	if f.closes == closeOnAccept {
 		return
 	}
 	reader := bufio.NewReader(c)
-	if f.closes == closesAtFirstByte {
+	if f.closes == closeOnFirstByte {
 		_, _ = reader.Peek(1)
 		return
 	}
@@ -118,15 +119,15 @@
 	}
 }
 
-func (f *fragile) count(key string) int {
+func (f *faultyServer) runCount(key string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[key]
 }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
+const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
 
-func answer(text string, open bool) func(net.Conn, *http.Request, int) bool {
+func respond(text string, open bool) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, r *http.Request, _ int) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(c, text)
@@ -134,8 +135,8 @@
 	}
 }
 
-// send places an order and returns its outcome: an answer's status, or what
-// the refusal says of its execution, or "aborted" for a body that broke off.
+// send sends an order and returns its outcome: the response's status, the execution
+// that a refusal reports, or "aborted" for a truncated body.
 func send(t *testing.T, n *iotest.Node, key, body, timeout string) string {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+n.Callers+"/orders/place", strings.NewReader(body))
@@ -165,15 +166,16 @@
 	}
 }
 
-// A subscriber places a paid order and the backend server breaks at some point
-// of the exchange. Told "not run" after a byte had left, the subscriber orders
-// again and a farmer is charged twice; told nothing, the order is lost.
-func TestOutcomeToldForEachBreak(t *testing.T) {
+// The backend server fails at some point of the exchange while it handles an order.
+// If the caller is told "not run" after a byte of the request was sent, it sends the
+// order again, and the order may run twice. If the caller is told nothing, the order
+// is lost.
+func TestOutcomeForEachFailurePoint(t *testing.T) {
 	const unknown, notRun = string(coltsfootward.ExecutionUnknown), string(coltsfootward.ExecutionNotRun)
 	for _, test := range []struct {
 		name    string
 		serve   func(net.Conn, *http.Request, int) bool
-		closes  closing
+		closes  closePoint
 		down    bool
 		body    string
 		timeout string
@@ -181,34 +183,34 @@
 		runs    int
 	}{
 		{name: "nothing listens", down: true, want: notRun, runs: 0},
-		// Whether the request's first byte or the close was first is chance; both
-		// outcomes are true, since nothing can have run.
-		{name: "connection closed at once", closes: closesAtOnce, want: notRun + " or " + unknown, runs: 0},
-		{name: "connection closed before the request is read", closes: closesAtFirstByte, want: unknown, runs: 0},
+		// The first byte may be written before or after the close, so either outcome
+		// may be reported. Both are correct, since the request can't have run.
+		{name: "connection closed at once", closes: closeOnAccept, want: notRun + " or " + unknown, runs: 0},
+		{name: "connection closed before the request is read", closes: closeOnFirstByte, want: unknown, runs: 0},
 		{name: "killed after the head", serve: func(net.Conn, *http.Request, int) bool { return false }, body: strings.Repeat("x", 1<<19), want: unknown, runs: 1},
-		{name: "killed after the request", serve: answer("", false), body: "order", want: unknown, runs: 1},
-		{name: "killed within the answer's head", serve: answer("HTTP/1.1 200 OK\r\nContent-Le", false), want: unknown, runs: 1},
-		{name: "killed within the answer's body", serve: answer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwho", false), want: "aborted", runs: 1},
-		{name: "killed within a chunk", serve: answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwho", false), want: "aborted", runs: 1},
-		{name: "killed before the last chunk", serve: answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n", false), want: "aborted", runs: 1},
-		{name: "body without a length", serve: answer("HTTP/1.1 200 OK\r\n\r\nwho", false), want: unknown, runs: 1},
-		{name: "upgrade that nobody asked for", serve: answer("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", false), want: unknown, runs: 1},
-		{name: "informational answers first", serve: answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"+wholeAnswer, true), want: "200", runs: 1},
-		{name: "redirect is the caller's to follow", serve: answer("HTTP/1.1 307 Temporary Redirect\r\nContent-Length: 5\r\n\r\nwhole", true), want: "307", runs: 1},
-		{name: "answered before the body is read", serve: func(c net.Conn, _ *http.Request, _ int) bool {
-			_, _ = io.WriteString(c, wholeAnswer)
+		{name: "killed after the request", serve: respond("", false), body: "order", want: unknown, runs: 1},
+		{name: "killed within the response's head", serve: respond("HTTP/1.1 200 OK\r\nContent-Le", false), want: unknown, runs: 1},
+		{name: "killed within the response's body", serve: respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwho", false), want: "aborted", runs: 1},
+		{name: "killed within a chunk", serve: respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwho", false), want: "aborted", runs: 1},
+		{name: "killed before the last chunk", serve: respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n", false), want: "aborted", runs: 1},
+		{name: "body without a length", serve: respond("HTTP/1.1 200 OK\r\n\r\nwho", false), want: unknown, runs: 1},
+		{name: "upgrade that was not requested", serve: respond("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", false), want: unknown, runs: 1},
+		{name: "interim responses first", serve: respond("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"+completeResponse, true), want: "200", runs: 1},
+		{name: "redirect is the caller's to follow", serve: respond("HTTP/1.1 307 Temporary Redirect\r\nContent-Length: 5\r\n\r\nwhole", true), want: "307", runs: 1},
+		{name: "response before the body is read", serve: func(c net.Conn, _ *http.Request, _ int) bool {
+			_, _ = io.WriteString(c, completeResponse)
 			return false
 		}, body: "short", want: "200", runs: 1},
-		{name: "empty body", serve: answer(wholeAnswer, true), want: "200", runs: 1},
+		{name: "empty body", serve: respond(completeResponse, true), want: "200", runs: 1},
 		{name: "time runs out while it runs", serve: func(c net.Conn, r *http.Request, _ int) bool {
 			_, _ = io.Copy(io.Discard, r.Body)
-			_, _ = c.Read(make([]byte, 1)) // until the node gives up
+			_, _ = c.Read(make([]byte, 1)) // until the node closes the connection
 			return false
 		}, timeout: "200", want: unknown, runs: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			n := start(t)
-			backend := newFragile(t, test.closes, test.serve)
+			backend := newFaultyServer(t, test.closes, test.serve)
 			if test.down {
 				backend.close()
 			}
@@ -217,22 +219,22 @@
 			if got := send(t, n, "order-1", test.body, test.timeout); !slices.Contains(strings.Split(test.want, " or "), got) {
 				t.Errorf("got outcome %s, want %s", got, test.want)
 			}
-			if got := backend.count("order-1"); got != test.runs {
+			if got := backend.runCount("order-1"); got != test.runs {
 				t.Errorf("got %d runs, want %d", got, test.runs)
 			}
 		})
 	}
 }
 
-// The backend server closes a kept connection just as the next order arrives
-// on it. net/http sends a request with an Idempotency-Key again by itself on a
-// fresh connection, so the order runs twice though the node made one attempt.
-func TestOrderOnBrokenKeptConnectionRunsOnce(t *testing.T) {
+// The backend server closes a reused connection just as the next order arrives on
+// it. net/http would retry a request with an Idempotency-Key on a new connection, so
+// that the order runs twice although the node has made one attempt.
+func TestOrderOnClosedIdleConnectionRunsOnce(t *testing.T) {
 	for _, body := range []string{"", "order"} {
 		n := start(t)
-		backend := newFragile(t, closesNever, func(c net.Conn, r *http.Request, number int) bool {
+		backend := newFaultyServer(t, closeNever, func(c net.Conn, r *http.Request, number int) bool {
 			if number == 0 {
-				return answer(wholeAnswer, true)(c, r, number)
+				return respond(completeResponse, true)(c, r, number)
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
 			return false
@@ -245,17 +247,17 @@
 		if got := send(t, n, "second", body, ""); got != string(coltsfootward.ExecutionUnknown) {
 			t.Errorf("body %q: got outcome %s, want %s", body, got, coltsfootward.ExecutionUnknown)
 		}
-		if got := backend.count("second"); got != 1 {
+		if got := backend.runCount("second"); got != 1 {
 			t.Errorf("body %q: got %d runs, want 1", body, got)
 		}
 	}
 }
 
-// The same break on net/http alone, to show that the guard is needed: without
-// it the second request reaches the backend server twice.
-func TestTransportAloneSendsTwice(t *testing.T) {
-	backend := newFragile(t, closesNever, func(c net.Conn, r *http.Request, number int) bool {
-		return number == 0 && answer(wholeAnswer, true)(c, r, number)
+// With net/http alone the same failure makes the second request reach the backend
+// server twice. This shows that sendGate is needed.
+func TestNetHTTPTransportSendsTwice(t *testing.T) {
+	backend := newFaultyServer(t, closeNever, func(c net.Conn, r *http.Request, number int) bool {
+		return number == 0 && respond(completeResponse, true)(c, r, number)
 	})
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
@@ -274,7 +276,7 @@
 		}
 		response.Body.Close()
 	}
-	if got := backend.count("second"); got != 2 {
-		t.Errorf("got %d runs, want 2: if net/http no longer sends again, the gate's comment is out of date", got)
+	if got := backend.runCount("second"); got != 2 {
+		t.Errorf("got %d runs, want 2: if net/http no longer retries, the comment on sendGate is out of date", got)
 	}
 }
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -16,94 +16,100 @@
 )
 
 const (
-	// idleTimeout closes connections before backend servers do: a common limit
-	// of theirs is 5 s. A request that meets a connection just closed by the
-	// other side ends in doubt, and an order in doubt is not sent again.
+	// idleTimeout is the default idle timeout. It is less than the common 5 s of
+	// backend servers, so that connections are closed by this side first. If a
+	// request is sent on a connection that the backend server is just closing, its
+	// outcome is unknown, and a request that must not run twice is not retried then.
 	idleTimeout = 4 * time.Second
-	// idleMargin is how much earlier than a backend server says a connection is
-	// given up: the server counts from when it has sent its answer.
+	// idleMargin is subtracted from the timeout in a backend server's Keep-Alive
+	// field, since the backend server counts from when it has sent its response.
 	idleMargin = 500 * time.Millisecond
-	// unrepeatableIdle is how long a connection may have been idle to still carry
-	// a request that must not run twice. A server that forgets connections sooner
-	// than it says resets what is sent next, and such a request is then in doubt
-	// and lost; a new connection costs a millisecond.
-	unrepeatableIdle = 200 * time.Millisecond
-	// maximumAnswerHeader bounds the header of a backend server's answer in
-	// bytes: it must fit into one frame to the entry node.
-	maximumAnswerHeader = 256 << 10
-	// linkBuffer is the size of a connection's buffers in bytes.
-	linkBuffer = 4096
-	// maximumInterim bounds the interim answers (1xx) before the real one.
+	// unrepeatableIdleTimeout is the maximum idle time of a connection for a request
+	// that must not run twice. If a backend server drops connections earlier than
+	// announced, it resets the next request, whose outcome is then unknown and which
+	// can't be retried. A new connection costs 1 ms.
+	unrepeatableIdleTimeout = 200 * time.Millisecond
+	// maximumResponseHeader is the maximum size of the header of a backend server's
+	// response in bytes. The header must fit into one frame to the entry node.
+	maximumResponseHeader = 256 << 10
+	// connBuffer is the size in bytes of each of a connection's two buffers.
+	connBuffer = 4096
+	// maximumInterim is the maximum number of responses that are read for a request,
+	// all but the last of them interim (1xx).
 	maximumInterim = 5
 )
 
-// link is a connection to the backend server. It carries one request at a time.
-type link struct {
-	conn    *gatedConn
-	limit   *wire.LimitedReader
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	idle    time.Time
-	expires time.Time
-	// reused is set once the link has carried a request.
+// backendConn is a buffered connection to the backend server. It carries one request
+// at a time.
+type backendConn struct {
+	conn      *gatedConn
+	limit     *wire.LimitedReader
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	idleSince time.Time
+	expires   time.Time
+	// reused is set once the connection has carried a request.
 	reused bool
 }
 
-// pool keeps idle connections to one backend server.
+// pool limits the number of connections to one backend server and keeps the idle
+// ones for reuse.
 type pool struct {
 	address string
 	slots   chan struct{}
 
 	mu     sync.Mutex
-	free   []*link
+	free   []*backendConn
 	closed bool
 }
 
-// newPool returns a pool that has at most connections connections in use.
+// newPool returns a pool with the given maximum number of connections in use.
 func newPool(address string, connections int) *pool {
 	return &pool{address: address, slots: make(chan struct{}, connections)}
 }
 
-// take returns a connection, a kept one where it is sound and idle for less than
-// most, else a new one. It waits while as many are in use as there may be.
-func (p *pool) take(ctx context.Context, most time.Duration) (*link, error) {
+// get returns an idle connection that is usable and has been idle for at most
+// maximumIdle, or else a new one. It blocks while the maximum number of connections
+// is in use.
+func (p *pool) get(ctx context.Context, maximumIdle time.Duration) (*backendConn, error) {
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	for {
-		l := p.pop(most)
-		if l == nil {
+		c := p.pop(maximumIdle)
+		if c == nil {
 			break
 		}
-		if l.sound() {
-			return l, nil
+		if c.isUsable() {
+			return c, nil
 		}
-		l.conn.Close()
+		c.conn.Close()
 	}
-	l, err := p.dial(ctx)
+	c, err := p.dial(ctx)
 	if err != nil {
 		<-p.slots
 	}
-	return l, err
+	return c, err
 }
 
-func (p *pool) dial(ctx context.Context) (*link, error) {
+func (p *pool) dial(ctx context.Context) (*backendConn, error) {
 	conn, err := dialGated(ctx, "tcp", p.address)
 	if err != nil {
 		return nil, fmt.Errorf("upstream: connect: %w", err)
 	}
 	gated := conn.(*gatedConn)
-	l := &link{conn: gated, limit: &wire.LimitedReader{Source: gated}}
-	l.reader = bufio.NewReaderSize(l.limit, linkBuffer)
-	l.writer = bufio.NewWriterSize(gated, linkBuffer)
-	return l, nil
+	c := &backendConn{conn: gated, limit: &wire.LimitedReader{Source: gated}}
+	c.reader = bufio.NewReaderSize(c.limit, connBuffer)
+	c.writer = bufio.NewWriterSize(gated, connBuffer)
+	return c, nil
 }
 
-// pop returns the connection that was used last, which is the least likely to
-// have been closed by the other side, and closes those that are too old.
-func (p *pool) pop(most time.Duration) *link {
+// pop removes and returns the most recently used idle connection, which is the least
+// likely to have been closed by the backend server. It returns nil if there is none
+// that has been idle for at most maximumIdle. It closes expired connections.
+func (p *pool) pop(maximumIdle time.Duration) *backendConn {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,101 +118,103 @@
 		return nil
 	}
 	last := p.free[len(p.free)-1]
-	if now.Sub(last.idle) > most {
+	if now.Sub(last.idleSince) > maximumIdle {
 		return nil
 	}
 	p.free = p.free[:len(p.free)-1]
 	return last
 }
 
-// dropExpired is called with the lock held.
+// dropExpired closes expired idle connections. The caller must hold p.mu.
 func (p *pool) dropExpired(now time.Time) {
 	kept := p.free[:0]
-	for _, l := range p.free {
-		if now.Before(l.expires) {
-			kept = append(kept, l)
+	for _, c := range p.free {
+		if now.Before(c.expires) {
+			kept = append(kept, c)
 			continue
 		}
-		l.conn.Close()
+		c.conn.Close()
 	}
 	clear(p.free[len(kept):])
 	p.free = kept
 }
 
-// put gives a connection back. keep says whether it may carry another request.
-func (p *pool) put(l *link, keep bool, lives time.Duration) {
+// put returns a connection to the pool. The connection is closed unless reusable is
+// set; otherwise it expires after keepAlive.
+func (p *pool) put(c *backendConn, reusable bool, keepAlive time.Duration) {
 	<-p.slots
-	l.conn.gate.Store(nil)
+	c.conn.gate.Store(nil)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !keep || p.closed || l.reader.Buffered() > 0 || lives <= 0 {
-		l.conn.Close()
+	if !reusable || p.closed || c.reader.Buffered() > 0 || keepAlive <= 0 {
+		c.conn.Close()
 		return
 	}
-	l.idle = time.Now()
-	l.expires = l.idle.Add(lives)
-	l.reused = true
-	p.free = append(p.free, l)
+	c.idleSince = time.Now()
+	c.expires = c.idleSince.Add(keepAlive)
+	c.reused = true
+	p.free = append(p.free, c)
 }
 
-// close ends the idle connections; those in use end when they are given back.
+// close closes the idle connections. Those in use are closed by put.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, l := range p.free {
-		l.conn.Close()
+	for _, c := range p.free {
+		c.conn.Close()
 	}
 	p.free = nil
 }
 
-// sound reports whether nothing has come on an idle connection: neither its end
-// nor bytes that belong to no request.
+// isUsable reports whether an idle connection is open and has no unread bytes.
 //
-// An answer that a faulty server sends twice waits there, and would be taken for
-// the next request's.
-func (l *link) sound() bool {
-	if l.reader.Buffered() > 0 {
+// If a faulty backend server sends a response twice, the second copy is unread, and
+// it would be taken for the response to the next request.
+func (c *backendConn) isUsable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	raw, err := l.conn.Conn.(syscall.Conn).SyscallConn()
+	raw, err := c.conn.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	sound := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		sound = errors.Is(err, syscall.EAGAIN)
+		usable = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && sound
+	return err == nil && usable
 }
 
-// exchange sends a request and reads the head of its answer.
-func (l *link) exchange(r *http.Request) (*http.Response, error) {
-	if err := r.Write(l.writer); err != nil {
+// roundTrip sends a request and reads the head of its response, skipping interim
+// responses.
+func (c *backendConn) roundTrip(r *http.Request) (*http.Response, error) {
+	if err := r.Write(c.writer); err != nil {
 		return nil, fmt.Errorf("upstream: send: %w", err)
 	}
-	if err := l.writer.Flush(); err != nil {
+	if err := c.writer.Flush(); err != nil {
 		return nil, fmt.Errorf("upstream: send: %w", err)
 	}
 	for range maximumInterim {
-		l.limit.Bound(maximumAnswerHeader)
-		response, err := http.ReadResponse(l.reader, r)
+		c.limit.Bound(maximumResponseHeader)
+		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
 			return nil, fmt.Errorf("upstream: receive: %w", err)
 		}
 		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
-			l.limit.Unbound()
+			c.limit.Unbound()
 			return response, nil
 		}
 	}
-	return nil, errors.New("upstream: receive: nothing but interim answers")
+	return nil, errors.New("upstream: receive: too many interim responses")
 }
 
-// lives returns how long a connection may stay idle after an answer.
-func lives(response *http.Response) time.Duration {
+// keepAlive returns how long a connection may stay idle after a response, from the
+// timeout in its Keep-Alive field and at most idleTimeout.
+func keepAlive(response *http.Response) time.Duration {
 	for parameter := range strings.SplitSeq(response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -25,24 +25,24 @@
 
 const (
 	copyBuffer = 32 << 10
-	// stallTimeout ends an answer whose body makes no progress.
+	// stallTimeout aborts a response after this time without progress of its body.
 	stallTimeout = 30 * time.Second
 	// DefaultMaximumBody is the default of Options.MaximumBody, in bytes.
 	DefaultMaximumBody = 64 << 20
 )
 
-// copyBuffers keeps buffers for reuse: one of its own for each call was a third
-// of all memory that a node allocated.
+// copyBuffers is a pool of buffers for response bodies. Without it, a buffer per
+// call made up a third of all memory that a node allocated.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
-// Options are a server's settings. The zero value works.
+// Options are the settings of a Server. The zero value is valid.
 type Options struct {
-	// MaximumBody bounds the body of a call that a peer sends, in bytes. It
-	// guards this node's memory against a broken peer, so it is larger than
-	// what callers may send. Zero means DefaultMaximumBody.
+	// MaximumBody is the maximum size in bytes of the body of a call from a peer.
+	// It protects this node's memory against a faulty peer, so it is larger than
+	// the limit for callers. Zero means DefaultMaximumBody.
 	MaximumBody int64
-	// Routed, if not nil, has the backend server spoken to in the header fields
-	// that it names.
+	// Routed, if not nil, gives the names of the header fields in requests to and
+	// responses from the backend server of a routed deployment.
 	Routed *wire.Fields
 }
 
@@ -58,12 +58,14 @@
 	pool    *pool
 }
 
-// New returns a server that knows no backend server yet, with default options.
+// New returns a server with default options. It has no backend server until Use or
+// UseBackend is called, or one announces itself.
 func New(l *loop.Loop, clock *loop.Clock) *Server {
 	return NewWithOptions(l, clock, Options{})
 }
 
-// NewWithOptions returns a server that knows no backend server yet.
+// NewWithOptions returns a server with the given options. Like New, it has no backend
+// server yet.
 func NewWithOptions(l *loop.Loop, clock *loop.Clock, options Options) *Server {
 	if options.MaximumBody <= 0 {
 		options.MaximumBody = DefaultMaximumBody
@@ -71,8 +73,8 @@
 	return &Server{loop: l, clock: clock, options: options}
 }
 
-// Use directs requests to the backend server at address, an IP number and
-// port, over at most connections connections. Requests under way go on.
+// Use directs requests to the backend server at address, an IP address and port, over
+// the given maximum number of connections. Running requests are not affected.
 func (s *Server) Use(address string, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +87,8 @@
 	s.pool = newPool(address, connections)
 }
 
-// UseBackend directs requests to the backend server of that name. Connections
-// to an earlier one at the same address are not used again.
+// UseBackend is like Use for a backend server with a name. Connections to an earlier
+// backend server at the same address are not reused.
 func (s *Server) UseBackend(name, address string, connections int) {
 	s.mu.Lock()
 	if s.backend != name && s.pool != nil {
@@ -98,18 +100,20 @@
 	s.Use(address, connections)
 }
 
-// target returns the backend server's name, where it has one, and connections.
+// target returns the backend server's name, which may be empty, and its connections,
+// or nil if there is no backend server.
 func (s *Server) target() (string, *pool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backend, s.pool
 }
 
-// ServeCall takes one call from a peer to its end.
+// ServeCall handles a call from a peer until its response is complete. It returns
+// early if ctx or the node's event loop ends.
 func (s *Server) ServeCall(ctx context.Context, incoming peer.IncomingCall, w *peer.AnswerWriter) {
 	body, err := wire.ReadBody(incoming.Body, s.options.MaximumBody+1)
 	if err != nil {
-		return // the caller left while sending; nothing has run
+		return // the entry node disconnected while sending; the request did not run
 	}
 	if int64(len(body)) > s.options.MaximumBody {
 		writeRefusal(w, node.Refuse{Refusal: coltsfootward.NewRefusal(coltsfootward.RefusalTooLarge,
@@ -119,8 +123,8 @@
 	call := s.loop.Open()
 	defer call.Close()
 	s.loop.Post(node.PeerCallArrived{Call: call.ID, From: incoming.From.ID, Head: incoming.Head, Age: incoming.Age})
-	left := ctx.Done()
-	var running *dispatch
+	cancelled := ctx.Done()
+	var current *dispatch
 	for {
 		select {
 		case action := <-call.Actions:
@@ -129,18 +133,18 @@
 				writeRefusal(w, a)
 				return
 			case node.Dispatch:
-				running = &dispatch{server: s, call: call, action: a, head: incoming.Head, body: body, writer: w}
-				if running.run(ctx) {
+				current = &dispatch{server: s, call: call, action: a, head: incoming.Head, body: body, writer: w}
+				if current.run(ctx) {
 					return
 				}
-				left = nil
+				cancelled = nil
 			case node.EndAnswer:
-				running.end(a)
+				current.sendEnd(a)
 				return
 			}
-		case <-left:
+		case <-cancelled:
 			s.loop.Post(node.CallerLeft{Call: call.ID})
-			left = nil
+			cancelled = nil
 		case <-s.loop.Done():
 			return
 		}
@@ -149,72 +153,74 @@
 
 func writeRefusal(w *peer.AnswerWriter, a node.Refuse) {
 	head := message.Answer{Refusal: &a.Refusal, Load: a.Load}
-	_ = w.Whole(head, nil, message.End{Attempts: a.Attempts}) // the peer may have left
+	_ = w.Whole(head, nil, message.End{Attempts: a.Attempts}) // the entry node may have disconnected
 }
 
 // dispatch is one request to the backend server.
 type dispatch struct {
-	server  *Server
-	call    *loop.Call
-	action  node.Dispatch
-	head    message.Call
-	body    []byte
-	writer  *peer.AnswerWriter
-	gate    gate
-	timedUp atomic.Bool
-	link    *link
-	pool    *pool
-	// stop ends the watch that closes the connection with the context.
+	server   *Server
+	call     *loop.Call
+	action   node.Dispatch
+	head     message.Call
+	body     []byte
+	writer   *peer.AnswerWriter
+	gate     sendGate
+	timedOut atomic.Bool
+	conn     *backendConn
+	pool     *pool
+	// stop prevents the connection from being closed when the context ends. It
+	// reports false if that has happened already.
 	stop func() bool
-	// whole is the answer if it is at hand as a whole, to go with its end.
-	whole *wholeAnswer
-	// failed is set if the answer says that the backend server failed.
+	// buffered is the complete response if it is to be sent with its end, else nil.
+	buffered *completeResponse
+	// failed is set if the response has a status of 500 or more.
 	failed bool
-	// keep is set once the connection may carry another request.
-	keep  bool
-	lives time.Duration
+	// reusable is set once the connection may carry another request.
+	reusable  bool
+	keepAlive time.Duration
 }
 
-// run reports whether the call is over. If not, the machine's refusal or the
-// end of the answer follows.
+// run sends the request and relays the response. It reports whether the call has
+// ended; if not, the state machine's refusal or EndAnswer follows.
 func (d *dispatch) run(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	now := d.server.clock.Now().Expiry
 	deadline := time.AfterFunc(d.action.Deadline-now, func() {
-		d.timedUp.Store(true)
+		d.timedOut.Store(true)
 		cancel()
 	})
 	defer deadline.Stop()
 	defer d.release()
 	response, err := d.send(ctx)
 	if err != nil {
-		return d.ended(d.failedKind(ctx, err))
+		return d.finish(d.failureKind(ctx, err))
 	}
 	if d.server.options.Routed != nil {
 		if d.rejected(response) {
-			return d.ended(node.DispatchRejected)
+			return d.finish(node.DispatchRejected)
 		}
 		if !d.server.options.Routed.Answers(string(d.head.Request), response.StatusCode, response.Header) {
-			return d.ended(node.DispatchFailed)
+			return d.finish(node.DispatchFailed)
 		}
 	}
 	if !deadline.Stop() {
-		return d.ended(node.DispatchTimeout)
+		return d.finish(node.DispatchTimeout)
 	}
-	return d.ended(d.passOn(ctx, response, cancel))
+	return d.finish(d.relay(ctx, response, cancel))
 }
 
-// release gives the connection back.
+// release returns the connection to the pool.
 func (d *dispatch) release() {
-	if d.link != nil {
-		d.pool.put(d.link, d.keep, d.lives)
-		d.link = nil
+	if d.conn != nil {
+		d.pool.put(d.conn, d.reusable, d.keepAlive)
+		d.conn = nil
 	}
 }
 
-// rejected reports whether the backend server says that it did not run the
-// request. One at which another server listens by now says so with status 421.
+// rejected reports whether the response states that the backend server did not run
+// the request. Status 421 means that another backend server now listens at the
+// address.
 func (d *dispatch) rejected(response *http.Response) bool {
 	misdirected := response.StatusCode == http.StatusMisdirectedRequest
 	if misdirected {
@@ -223,20 +229,21 @@
 	return misdirected || response.Header.Get(d.server.options.Routed.NotRun) != ""
 }
 
-// ended reports the end and whether no action of the machine follows it.
-func (d *dispatch) ended(kind node.DispatchKind) bool {
+// finish reports the end of the dispatch to the state machine. It returns true if no
+// further action of the state machine follows.
+func (d *dispatch) finish(kind node.DispatchKind) bool {
 	d.server.loop.Post(node.DispatchEnded{Call: d.call.ID, Kind: kind, Failed: d.failed})
 	return kind == node.DispatchCancelled || kind == node.DispatchTruncated
 }
 
-func (d *dispatch) failedKind(ctx context.Context, err error) node.DispatchKind {
+func (d *dispatch) failureKind(ctx context.Context, err error) node.DispatchKind {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		d.server.loop.Post(node.BackendLost{})
 	}
 	switch {
 	case d.gate.withdraw():
 		return node.DispatchUnsent
-	case d.timedUp.Load():
+	case d.timedOut.Load():
 		return node.DispatchTimeout
 	case ctx.Err() != nil:
 		return node.DispatchCancelled
@@ -250,24 +257,24 @@
 	if connections == nil {
 		return nil, errors.New("upstream: no backend server has announced itself")
 	}
-	most := time.Duration(idleTimeout)
+	maximumIdle := time.Duration(idleTimeout)
 	if d.action.Unrepeatable {
-		most = unrepeatableIdle
+		maximumIdle = unrepeatableIdleTimeout
 	}
-	l, err := connections.take(ctx, most)
+	c, err := connections.get(ctx, maximumIdle)
 	if err != nil {
 		return nil, err
 	}
-	d.link, d.pool = l, connections
-	// The node may have been paused, or the request have waited for a
-	// connection, since the machine decided: the admission is checked once more
-	// with nothing between the check and the first byte.
+	d.conn, d.pool = c, connections
+	// Since the state machine admitted the request, the process may have been paused,
+	// or the request may have waited for a connection. The admission is therefore
+	// checked once more immediately before the first byte is written.
 	d.gate.admitted = func() bool {
 		late := d.action.StartBy != 0 && d.server.clock.Now().Expiry >= d.action.StartBy
 		return !late && ctx.Err() == nil
 	}
-	l.conn.gate.Store(&d.gate)
-	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
+	c.conn.gate.Store(&d.gate)
+	stop := context.AfterFunc(ctx, func() { c.conn.Close() })
 	d.stop = stop
 	request := &http.Request{
 		Method: d.head.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -278,24 +285,24 @@
 	if request.Host == "" {
 		request.Host = connections.address
 	}
-	d.fill(request, backend)
-	response, err := l.exchange(request)
+	d.setHeader(request, backend)
+	response, err := c.roundTrip(request)
 	if err != nil {
 		return nil, err
 	}
 	return response, d.checkHead(response)
 }
 
-func (d *dispatch) fill(request *http.Request, backend string) {
+func (d *dispatch) setHeader(request *http.Request, backend string) {
 	for name, values := range d.head.Header {
 		request.Header[name] = values
 	}
-	// Without this line the library names itself to the backend server.
+	// An empty User-Agent keeps net/http from sending its own.
 	if _, ok := request.Header["User-Agent"]; !ok {
 		request.Header["User-Agent"] = []string{""}
 	}
-	left := d.action.Deadline - d.server.clock.Now().Expiry
-	deadline := strconv.FormatInt(max(left.Milliseconds(), 1), 10)
+	remaining := d.action.Deadline - d.server.clock.Now().Expiry
+	deadline := strconv.FormatInt(max(remaining.Milliseconds(), 1), 10)
 	if fields := d.server.options.Routed; fields != nil {
 		request.Header[fields.Request] = []string{string(d.head.Request)}
 		request.Header[fields.Caller] = []string{string(d.head.Caller)}
