--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -16,21 +16,21 @@
 	"connectrpc.com/connect"
 )
 
-// namePattern is what organisations, keys and services may be called.
+// namePattern matches the valid names of organisations, keys and services.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,127}$`)
 
 var methodPattern = regexp.MustCompile(`^[A-Z]{1,16}$`)
 
-// Bounds of a service, so that one change fits in one row of the table.
+// Limits on a service, so that a change fits into one row of the table.
 const (
-	maximumAttempts = 64
-	maximumMarks    = 256
-	maximumPrefix   = 512
+	maximumAttempts   = 64
+	maximumMarks      = 256
+	maximumPathPrefix = 512
 )
 
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// SetOrganisation implements the operators' interface.
+// SetOrganisation creates or changes an organisation.
 func (s *Service) SetOrganisation(ctx context.Context, r *connect.Request[coltsfootwardv1.SetOrganisationRequest]) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	m := r.Msg
 	if err := checkName("name", m.Name); err != nil {
@@ -49,7 +49,7 @@
 	return s.change(ctx, m.Context, coltsfootward.Change{Organisation: organisation})
 }
 
-// IssueKey implements the operators' interface.
+// IssueKey adds a key to an organisation.
 func (s *Service) IssueKey(ctx context.Context, r *connect.Request[coltsfootwardv1.IssueKeyRequest]) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	m := r.Msg
 	if err := errors.Join(checkName("id", m.Id), checkName("organisation", m.Organisation)); err != nil {
@@ -59,12 +59,12 @@
 		return nil, invalid("digest is no SHA-256 digest in lower-case hexadecimal: let coltsfootctl make the key")
 	}
 	organisation := coltsfootward.OrganisationName(m.Organisation)
-	if !s.await(ctx, func(c coltsfootward.Configuration) bool { _, ok := c.Organisation(organisation); return ok }) {
+	if !s.waitFor(ctx, func(c coltsfootward.Configuration) bool { _, ok := c.Organisation(organisation); return ok }) {
 		return nil, connect.NewError(connect.CodeFailedPrecondition,
 			fmt.Errorf("operator: there is no organisation %q: create it with coltsfootctl organisation set", organisation))
 	}
-	// A key's name belongs to one key for good. Were it given to a second one,
-	// withdrawing the name would leave one of the two at work.
+	// The ID of a key is never reused. If two keys had the same ID, withdrawing that
+	// ID would leave one of them in force.
 	if m.Context != nil {
 		m.Context.BasedOn, m.Context.Force = 0, false
 	}
@@ -76,18 +76,19 @@
 	return s.change(ctx, m.Context, coltsfootward.Change{Key: key})
 }
 
-// WithdrawKey implements the operators' interface.
+// WithdrawKey withdraws a key. This node refuses the key before the change is stored.
 func (s *Service) WithdrawKey(ctx context.Context, r *connect.Request[coltsfootwardv1.WithdrawKeyRequest]) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	key, ok := s.keyByID(ctx, r.Msg.Id)
 	if !ok {
 		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("operator: there is no key %q: list them with coltsfootctl key list", r.Msg.Id))
 	}
 	key.Withdrawn = true
-	// Withdrawing wins every race: it only ever grows, so it needs no revision
-	// that the operator saw.
+	// A withdrawal takes precedence over concurrent changes. It can't be undone, so it
+	// needs no revision to be based on.
 	if r.Msg.Context != nil && r.Msg.Context.ChangeId != "" {
 		r.Msg.Context.Force = true
-		// The key stops now: the platform may take long to store the change.
+		// Withdraw the key on this node at once, since the platform may take long to
+		// store the change.
 		s.loop.Inspect(func(n *node.Node) { n.WithdrawKey(key.Digest) })
 	}
 	return s.change(ctx, r.Msg.Context, coltsfootward.Change{Key: &key})
@@ -101,14 +102,14 @@
 	if m.Method != "" && !methodPattern.MatchString(m.Method) {
 		return coltsfootward.Mark{}, invalid("method is %q: give an HTTP method in capitals, or none for every method", m.Method)
 	}
-	if m.PathPrefix != "" && (m.PathPrefix[0] != '/' || len(m.PathPrefix) > maximumPrefix) {
-		return coltsfootward.Mark{}, invalid("path_prefix is %q: start it with / and keep it within %d characters", m.PathPrefix, maximumPrefix)
+	if m.PathPrefix != "" && (m.PathPrefix[0] != '/' || len(m.PathPrefix) > maximumPathPrefix) {
+		return coltsfootward.Mark{}, invalid("path_prefix is %q: start it with / and keep it within %d characters", m.PathPrefix, maximumPathPrefix)
 	}
 	return coltsfootward.Mark{Method: m.Method, PathPrefix: m.PathPrefix, Priority: priority, Unrepeatable: m.Unrepeatable}, nil
 }
 
 func (s *Service) keyByID(ctx context.Context, id string) (key coltsfootward.Key, found bool) {
-	found = s.await(ctx, func(c coltsfootward.Configuration) bool {
+	found = s.waitFor(ctx, func(c coltsfootward.Configuration) bool {
 		for _, candidate := range c.Keys() {
 			if candidate.ID == id {
 				key = candidate
@@ -120,28 +121,29 @@
 	return key, found
 }
 
-// lookupWait is how long an object may be missing here before the operator is
-// told so: another node may have stored it a moment ago.
-const lookupWait = 3 * time.Second
+// lookupTimeout limits the wait for an object that this node does not have yet:
+// another node may have stored it a moment ago.
+const lookupTimeout = 3 * time.Second
 
-// await reads the configuration anew until holds is true, for up to lookupWait.
-func (s *Service) await(ctx context.Context, holds func(coltsfootward.Configuration) bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, lookupWait)
+// waitFor refreshes the configuration until condition is true. It reports false if
+// that is not so within lookupTimeout.
+func (s *Service) waitFor(ctx context.Context, condition func(coltsfootward.Configuration) bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	for {
-		if holds(s.configuration()) {
+		if condition(s.configuration()) {
 			return true
 		}
 		s.loop.Inspect(func(n *node.Node) { n.Refresh() })
 		select {
-		case <-time.After(watchInterval):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// SetService implements the operators' interface.
+// SetService creates or changes a service.
 func (s *Service) SetService(ctx context.Context, r *connect.Request[coltsfootwardv1.SetServiceRequest]) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	m := r.Msg.Service
 	if m == nil {
@@ -174,7 +176,8 @@
 	return s.change(ctx, r.Msg.Context, coltsfootward.Change{Service: service})
 }
 
-// change stores a change and waits as asked until it is in force.
+// change stores a change and waits until it is in force, for at most the requested
+// time.
 func (s *Service) change(ctx context.Context, c *coltsfootwardv1.ChangeContext, change coltsfootward.Change) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	if c == nil || c.ChangeId == "" || len(c.ChangeId) > 128 {
 		return nil, invalid("context.change_id must have 1 to 128 characters: choose one per change")
--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -1,2 +1,2 @@
-// Package operator serves the operators' interface with Connect.
+// Package operator implements the operators' interface, a Connect service, on a node.
 package operator
--- a/io/operator/list.go
+++ b/io/operator/list.go
@@ -8,7 +8,7 @@
 	"connectrpc.com/connect"
 )
 
-// ListOrganisations implements the operators' interface.
+// ListOrganisations returns the organisations in this node's configuration.
 func (s *Service) ListOrganisations(context.Context, *connect.Request[coltsfootwardv1.ListOrganisationsRequest]) (*connect.Response[coltsfootwardv1.ListOrganisationsResponse], error) {
 	c := s.configuration()
 	response := &coltsfootwardv1.ListOrganisationsResponse{Revision: uint64(c.Revision())}
@@ -20,7 +20,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// ListKeys implements the operators' interface.
+// ListKeys returns the keys in this node's configuration, without their digests.
 func (s *Service) ListKeys(context.Context, *connect.Request[coltsfootwardv1.ListKeysRequest]) (*connect.Response[coltsfootwardv1.ListKeysResponse], error) {
 	c := s.configuration()
 	response := &coltsfootwardv1.ListKeysResponse{Revision: uint64(c.Revision())}
@@ -32,16 +32,16 @@
 	return connect.NewResponse(response), nil
 }
 
-// ListServices implements the operators' interface.
+// ListServices returns the services in this node's configuration.
 func (s *Service) ListServices(context.Context, *connect.Request[coltsfootwardv1.ListServicesRequest]) (*connect.Response[coltsfootwardv1.ListServicesResponse], error) {
 	c := s.configuration()
 	response := &coltsfootwardv1.ListServicesResponse{Revision: uint64(c.Revision())}
-	for _, found := range c.Services() {
+	for _, configured := range c.Services() {
 		service := &coltsfootwardv1.Service{
-			Name: string(found.Name), Attempts: int32(found.Attempts),
-			TimeoutMilliseconds: found.Timeout.Milliseconds(), Revision: uint64(found.Revision),
+			Name: string(configured.Name), Attempts: int32(configured.Attempts),
+			TimeoutMilliseconds: configured.Timeout.Milliseconds(), Revision: uint64(configured.Revision),
 		}
-		for _, mark := range found.Marks {
+		for _, mark := range configured.Marks {
 			service.Marks = append(service.Marks, &coltsfootwardv1.Mark{
 				Method: mark.Method, PathPrefix: mark.PathPrefix, Priority: string(mark.Priority), Unrepeatable: mark.Unrepeatable,
 			})
--- a/io/operator/node.go
+++ b/io/operator/node.go
@@ -10,7 +10,8 @@
 	"connectrpc.com/connect"
 )
 
-// Status implements the operators' interface.
+// Status returns the state of this node, its peers and the backend servers known to
+// it.
 func (s *Service) Status(context.Context, *connect.Request[coltsfootwardv1.StatusRequest]) (*connect.Response[coltsfootwardv1.StatusResponse], error) {
 	var status node.Status
 	s.loop.Inspect(func(n *node.Node) { status = n.Status() })
@@ -41,23 +42,24 @@
 	return connect.NewResponse(response), nil
 }
 
-// Drain implements the operators' interface.
+// Drain has the node start draining. It does not wait for the end of the drain.
 func (s *Service) Drain(context.Context, *connect.Request[coltsfootwardv1.DrainRequest]) (*connect.Response[coltsfootwardv1.DrainResponse], error) {
 	s.loop.Post(node.DrainRequested{})
 	return connect.NewResponse(&coltsfootwardv1.DrainResponse{}), nil
 }
 
-// Timeline implements the operators' interface.
+// Timeline returns the newest events of this node's timeline, oldest first and up to
+// the requested limit. A limit of zero or less means all.
 func (s *Service) Timeline(_ context.Context, r *connect.Request[coltsfootwardv1.TimelineRequest]) (*connect.Response[coltsfootwardv1.TimelineResponse], error) {
 	var self coltsfootward.Instance
 	s.loop.Inspect(func(n *node.Node) { self = n.Status().Self })
 	response := &coltsfootwardv1.TimelineResponse{}
-	for _, found := range s.timeline.Last(int(r.Msg.Limit)) {
+	for _, entry := range s.timeline.Last(int(r.Msg.Limit)) {
 		event := &coltsfootwardv1.TimelineEvent{
-			Code: int32(found.Code), Name: found.Name, WallNanoseconds: found.Wall.UnixNano(), Instance: string(self.ID),
-			HybridNanoseconds: found.Stamp.Wall, Logical: uint64(found.Stamp.Logical),
+			Code: int32(entry.Code), Name: entry.Name, WallNanoseconds: entry.Wall.UnixNano(), Instance: string(self.ID),
+			HybridNanoseconds: entry.Stamp.Wall, Logical: uint64(entry.Stamp.Logical),
 		}
-		for _, f := range found.Fields {
+		for _, f := range entry.Fields {
 			event.Fields = append(event.Fields, &coltsfootwardv1.TimelineField{Name: f.Name, Value: f.Value})
 		}
 		response.Events = append(response.Events, event)
--- a/io/operator/service.go
+++ b/io/operator/service.go
@@ -16,18 +16,20 @@
 	loop     *loop.Loop
 	store    *configuration.Store
 	timeline *record.Ring
-	// readOnly is set where the configuration is a document that is changed
-	// elsewhere.
+	// readOnly is set if the configuration is a document that is changed on the
+	// platform.
 	readOnly bool
 }
 
-// New returns a service that changes the configuration in table.
+// New returns a service that stores configuration changes in table and reads events
+// from timeline.
 func New(l *loop.Loop, table coltsfootward.Table, timeline *record.Ring) *Service {
 	return &Service{loop: l, store: configuration.NewStore(table), timeline: timeline}
 }
 
-// ReadOnly has the service refuse changes, for deployments whose configuration
-// is a document on the platform: a change made here would never be in force.
+// ReadOnly makes the service refuse changes and returns it. It is for deployments
+// whose configuration is a document on the platform, where a change to the table
+// would never be in force.
 func (s *Service) ReadOnly() *Service {
 	s.readOnly = true
 	return s
--- a/io/operator/watch.go
+++ b/io/operator/watch.go
@@ -11,13 +11,15 @@
 	"connectrpc.com/connect"
 )
 
-// watchInterval is the time between two looks at who has confirmed a revision.
-const watchInterval = 50 * time.Millisecond
+// pollInterval is the interval at which the confirmed revisions or the configuration
+// are read while a call waits.
+const pollInterval = 50 * time.Millisecond
 
-// maximumWait bounds how long a call may wait.
+// maximumWait limits the time that a call may wait for a revision.
 const maximumWait = 5 * time.Minute
 
-// WatchRevision implements the operators' interface.
+// WatchRevision waits until a revision is in force in all failure domains, for at
+// most the requested time and 5 min.
 func (s *Service) WatchRevision(ctx context.Context, r *connect.Request[coltsfootwardv1.WatchRevisionRequest]) (*connect.Response[coltsfootwardv1.WatchRevisionResponse], error) {
 	inForce, domains := s.watch(ctx, coltsfootward.Revision(r.Msg.Revision), r.Msg.WaitMilliseconds)
 	return connect.NewResponse(&coltsfootwardv1.WatchRevisionResponse{InForce: inForce, Domains: domains}), nil
@@ -27,7 +29,7 @@
 	wait := min(time.Duration(max(milliseconds, 0))*time.Millisecond, maximumWait)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		inForce, domains := s.inForce(revision)
@@ -44,8 +46,8 @@
 	}
 }
 
-// maximumNamed bounds the instances named for each failure domain.
-const maximumNamed = 10
+// maximumWaitingFor is the maximum number of instances in DomainRevision.WaitingFor.
+const maximumWaitingFor = 10
 
 func (s *Service) inForce(revision coltsfootward.Revision) (bool, []*coltsfootwardv1.DomainRevision) {
 	var found []node.DomainRevision
@@ -56,7 +58,7 @@
 		confirmed := d.Revision >= revision
 		all = all && confirmed
 		domain := &coltsfootwardv1.DomainRevision{Domain: string(d.Domain), Revision: uint64(d.Revision), Confirmed: confirmed}
-		for _, id := range d.Behind[:min(len(d.Behind), maximumNamed)] {
+		for _, id := range d.Behind[:min(len(d.Behind), maximumWaitingFor)] {
 			domain.WaitingFor = append(domain.WaitingFor, string(id))
 		}
 		domains = append(domains, domain)
