--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -284,7 +284,7 @@
 		t.Fatalf("300 connections: got Keep-Alive %q, want timeout=1", got)
 	}
 	began := time.Now()
-	if _, err := last.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // a net.Conn returns io.EOF unwrapped
+	if _, err := last.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the plain end of a connection
 		t.Fatalf("got %v, want the end of the connection", err)
 	}
 	if took := time.Since(began); took < time.Second || took > 2500*time.Millisecond {
