--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -14,12 +14,12 @@
 	"coltsfootward/io/peer"
 )
 
-// copyBuffer is the size of the buffers for response bodies in bytes.
-const copyBuffer = 32 << 10
+// copyBufferSize is the size of the buffers for response bodies in bytes.
+const copyBufferSize = 32 << 10
 
 // copyBuffers is a pool of buffers for response bodies. Without it, a buffer per
 // call made up a third of all memory that a node allocated.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // exchange is a caller's request and the response to it.
 type exchange struct {
@@ -207,7 +207,7 @@
 // copyBody forwards the body as it arrives and reports whether it is complete.
 func (e *exchange) copyBody(response *peer.Answer) bool {
 	flusher := http.NewResponseController(e.writer)
-	pooled := copyBuffers.Get().(*[copyBuffer]byte)
+	pooled := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(pooled)
 	buffer := pooled[:]
 	for {
@@ -219,7 +219,7 @@
 				return false
 			}
 			e.download.written += int64(n)
-			if n < copyBuffer {
+			if n < copyBufferSize {
 				_ = flusher.Flush() // if the caller has disconnected, the next write fails
 			}
 		}
--- a/io/caller/responder.go
+++ b/io/caller/responder.go
@@ -61,7 +61,7 @@
 		w.failed = true
 		return
 	}
-	_ = w.conn.net.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails
+	_ = w.conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails
 	w.setFraming(status)
 	out := w.conn.writer
 	fmt.Fprintf(out, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
@@ -147,7 +147,7 @@
 	if w.failed || !w.wroteHeader {
 		return nil
 	}
-	_ = w.conn.net.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails
+	_ = w.conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection the write fails
 	if err := w.conn.writer.Flush(); err != nil {
 		w.abortConnection()
 		return err
@@ -209,7 +209,7 @@
 	c.closed = true
 	c.setIdleDeadlineLocked()
 	c.mu.Unlock()
-	if half, ok := c.net.(interface{ CloseWrite() error }); ok {
+	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite() // after an error the connection is closed all the same
 	}
 	c.cancel()
--- a/io/caller/server_conn.go
+++ b/io/caller/server_conn.go
@@ -24,8 +24,8 @@
 	// size of a header: the buffer may also receive a part of the body and of
 	// further requests.
 	headerReadAhead = 4096
-	// connBuffer is the size in bytes of each of a connection's two buffers.
-	connBuffer = 4096
+	// connBufferSize is the size in bytes of each of a connection's two buffers.
+	connBufferSize = 4096
 	// lingerTimeout limits how long bytes are still read from a connection after
 	// its last response. If a socket is closed while it has unread bytes, TCP sends
 	// a reset, and the caller may lose the last response.
@@ -42,14 +42,14 @@
 // and each request is handled in a goroutine of its own. The responses are written
 // in the order of the requests.
 type serverConn struct {
-	server *Server
-	net    net.Conn
-	limit  *wire.LimitedReader
-	reader *bufio.Reader
-	writer *bufio.Writer
-	ctx    context.Context
-	cancel context.CancelFunc
-	slots  chan struct{}
+	server  *Server
+	netConn net.Conn
+	limit   *wire.LimitedReader
+	reader  *bufio.Reader
+	writer  *bufio.Writer
+	ctx     context.Context
+	cancel  context.CancelFunc
+	slots   chan struct{}
 
 	mu sync.Mutex
 	// pending counts the requests that have been read and have no complete
@@ -67,14 +67,14 @@
 
 // connReaders is a pool of read buffers. New connections are frequent while callers
 // are refused, since each retry uses a new connection.
-var connReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, connBuffer) }}
+var connReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, connBufferSize) }}
 
 func newServerConn(s *Server, n net.Conn) *serverConn {
-	c := &serverConn{server: s, net: n, slots: make(chan struct{}, maximumPipelined)}
+	c := &serverConn{server: s, netConn: n, slots: make(chan struct{}, maximumPipelined)}
 	c.limit = &wire.LimitedReader{Source: n}
 	c.reader = connReaders.Get().(*bufio.Reader)
 	c.reader.Reset(c.limit)
-	c.writer = bufio.NewWriterSize(n, connBuffer)
+	c.writer = bufio.NewWriterSize(n, connBufferSize)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
@@ -87,7 +87,7 @@
 		connReaders.Put(c.reader)
 	}()
 	defer c.server.removeConnection(c)
-	defer c.net.Close()
+	defer c.netConn.Close()
 	defer c.cancel()
 	previous := make(chan struct{})
 	close(previous)
@@ -96,11 +96,11 @@
 			return
 		}
 		arrived := time.Now()
-		request, body, failed := c.readRequest()
+		request, body, refused := c.readRequest()
 		w := newResponder(c, request, arrived, previous)
 		previous = w.done
-		if failed != nil {
-			c.refuseAndClose(w, *failed)
+		if refused != nil {
+			c.refuseAndClose(w, *refused)
 			return
 		}
 		select {
@@ -158,7 +158,7 @@
 		}
 		deadline = time.Now().Add(timeout + idleGrace)
 	}
-	_ = c.net.SetReadDeadline(deadline) // on a closed connection the next read fails
+	_ = c.netConn.SetReadDeadline(deadline) // on a closed connection the next read fails
 }
 
 // announceIdleTimeout sets Keep-Alive in a response's header if the idle timeout
@@ -215,14 +215,14 @@
 
 func (c *serverConn) abort() {
 	c.cancel()
-	c.net.Close()
+	c.netConn.Close()
 }
 
 // readRequest reads a request and its complete body. It returns a refusal if the
 // request is invalid, too large or too slow.
 func (c *serverConn) readRequest() (*http.Request, []byte, *coltsfootward.Refusal) {
 	limits := c.server.limits()
-	_ = c.net.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)) // on a closed connection the read fails
+	_ = c.netConn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)) // on a closed connection the read fails
 	c.limit.Bound(limits.HeaderBytes + headerReadAhead)
 	request, err := http.ReadRequest(c.reader)
 	c.limit.Unbound()
@@ -254,7 +254,7 @@
 		return nil, newRefusal(coltsfootward.RefusalTooLarge, "the body is larger than allowed")
 	}
 	if r.Header.Get("Expect") == "100-continue" && c.isIdle() {
-		if _, err := c.net.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+		if _, err := c.netConn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return nil, newRefusal(coltsfootward.RefusalBadRequest, "the caller has left")
 		}
 	}
@@ -262,7 +262,7 @@
 	if r.ContentLength > 0 {
 		buffer.Grow(int(r.ContentLength))
 	}
-	_ = c.net.SetReadDeadline(time.Now().Add(limits.HeaderTimeout + bodyTimeout)) // on a closed connection the read fails
+	_ = c.netConn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout + bodyTimeout)) // on a closed connection the read fails
 	n, err := io.Copy(&buffer, io.LimitReader(r.Body, limits.BodyBytes+1))
 	switch {
 	case n > limits.BodyBytes:
@@ -290,8 +290,8 @@
 
 // linger discards further input for up to lingerTimeout after the last response.
 func (c *serverConn) linger() {
-	_ = c.net.SetReadDeadline(time.Now().Add(lingerTimeout)) // on a closed connection the copy ends
-	_, _ = io.Copy(io.Discard, c.net)                        // requests are no longer served
+	_ = c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout)) // on a closed connection the copy ends
+	_, _ = io.Copy(io.Discard, c.netConn)                        // requests are no longer served
 }
 
 // serve runs the handler for one request.
--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -64,7 +64,8 @@
 			fmt.Errorf("operator: there is no organisation %q: create it with coltsfootctl organisation set", organisation))
 	}
 	// The ID of a key is never reused. If two keys had the same ID, withdrawing that
-	// ID would leave one of them in force.
+	// ID would leave one of them in force. Without BasedOn and Force the change is
+	// refused if the ID exists.
 	if m.Context != nil {
 		m.Context.BasedOn, m.Context.Force = 0, false
 	}
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -52,7 +52,7 @@
 	d.reusable = false
 	stallTimer := time.AfterFunc(stallTimeout, cancel)
 	defer stallTimer.Stop()
-	pooled := copyBuffers.Get().(*[copyBuffer]byte)
+	pooled := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(pooled)
 	buffer := pooled[:]
 	n, complete := 0, false
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -32,8 +32,8 @@
 	// maximumResponseHeader is the maximum size of the header of a backend server's
 	// response in bytes. The header must fit into one frame to the entry node.
 	maximumResponseHeader = 256 << 10
-	// connBuffer is the size in bytes of each of a connection's two buffers.
-	connBuffer = 4096
+	// connBufferSize is the size in bytes of each of a connection's two buffers.
+	connBufferSize = 4096
 	// maximumInterim is the maximum number of responses that are read for a request,
 	// all but the last of them interim (1xx).
 	maximumInterim = 5
@@ -101,8 +101,8 @@
 	}
 	gated := conn.(*gatedConn)
 	c := &backendConn{conn: gated, limit: &wire.LimitedReader{Source: gated}}
-	c.reader = bufio.NewReaderSize(c.limit, connBuffer)
-	c.writer = bufio.NewWriterSize(gated, connBuffer)
+	c.reader = bufio.NewReaderSize(c.limit, connBufferSize)
+	c.writer = bufio.NewWriterSize(gated, connBufferSize)
 	return c, nil
 }
 
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	copyBuffer = 32 << 10
+	copyBufferSize = 32 << 10
 	// stallTimeout aborts a response after this time without progress of its body.
 	stallTimeout = 30 * time.Second
 	// DefaultMaximumBody is the default of Options.MaximumBody, in bytes.
@@ -33,7 +33,7 @@
 
 // copyBuffers is a pool of buffers for response bodies. Without it, a buffer per
 // call made up a third of all memory that a node allocated.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // Options are the settings of a Server. The zero value is valid.
 type Options struct {
