--- a/core/node/entry_end.go
+++ b/core/node/entry_end.go
@@ -8,45 +8,48 @@
 	"coltsfootward/core/record"
 )
 
-// giveUp ends a call for which no attempt is under way. What earlier attempts
-// may have done decides what the caller is told about execution.
+// giveUp refuses a call that has no attempt in flight. The outcome of earlier
+// attempts determines the execution status that the caller receives.
 //
-// An admission that no attempt has spent goes back: kept, it would charge the
-// organisation for requests that never ran and refuse later ones inside its rate.
+// An admission that no attempt has spent is released. Otherwise the
+// organisation would be charged for requests that never ran, and later requests
+// within its rate would be refused.
 func (p *entryPart) giveUp(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
-	if !call.running {
+	if !call.inFlight {
 		p.node.rate.release(call.head.Organisation, call.admission)
 		call.admission = admission{}
 	}
 	p.finish(call, r, evidence...)
 }
 
-// finish answers the call with a refusal and forgets it; evidence is what decided it. Once an attempt may
-// have run, a later one that certainly did not makes nothing undone.
+// finish refuses the call and removes it; evidence holds log fields that
+// explain the refusal. Once an attempt may have run, a later attempt that
+// certainly did not run does not change the execution status back to not run.
 func (p *entryPart) finish(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
 	delete(p.calls, call.id)
-	p.callEnded(call, true)
-	if call.doubtful && r.Execution == coltsfootward.ExecutionNotRun {
+	p.recordChildEnd(call, true)
+	if call.mayHaveRun && r.Execution == coltsfootward.ExecutionNotRun {
 		r = r.WithExecution(coltsfootward.ExecutionUnknown)
 	}
-	if call.ownAttempts && r.Execution == coltsfootward.ExecutionNotRun {
+	if call.routed && r.Execution == coltsfootward.ExecutionNotRun {
 		p.node.rate.release(call.head.Organisation, call.admission)
 	}
 	if call.claim != nil {
 		p.node.claims.ended(call, r.Execution, nil)
 	}
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget-call.attempts)
+		p.node.ledger.release(call.parent, call.budget-call.attempts)
 		p.node.upstream.childRefused(call.parent, r)
 	}
 	p.refuse(call.id, call.head.Request, r, append(p.evidence(call), evidence...)...)
 }
 
-// replay answers the call with the first request's answer and forgets it.
+// replay answers the call with the response to the first request under its
+// idempotency key, and removes the call.
 func (p *entryPart) replay(call *entryCall, answer *claim.Answer) {
 	delete(p.calls, call.id)
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget)
+		p.node.ledger.release(call.parent, call.budget)
 	}
 	p.node.act(Replay{Call: call.id, Answer: *answer})
 }
@@ -56,26 +59,27 @@
 	p.node.act(Refuse{Call: id, Refusal: r})
 }
 
-// broken fetches the rest of an answer that broke off by another attempt, if
-// one is left. It waits for its beginning as long as the first: a download may
-// have outlasted the request's own time by far. The upstream is not marked as
-// tried, since it may have been only the connection that broke.
+// broken resumes a truncated response with another attempt, if the budget
+// allows one. The new attempt may wait for its response to begin as long as the
+// first, since a download may have lasted far longer than the request's
+// timeout. The upstream is not marked as tried, because only the connection may
+// have failed.
 func (p *entryPart) broken(e AnswerBroken) {
 	call, ok := p.calls[e.Call]
 	if !ok || !call.answered {
 		return
 	}
 	call.answered = false
-	call.running = false
-	call.doubtful = true
-	call.attempts += call.carried
+	call.inFlight = false
+	call.mayHaveRun = true
+	call.attempts += call.allocation
 	if call.parent == "" {
 		call.deadline = max(call.deadline, p.node.now.Expiry+call.timeout)
 	}
 	p.node.ledger.topUp(call)
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalConnectionLost, "the answer broke off").WithExecution(coltsfootward.ExecutionUnknown)
 	if p.mayRetry(call, r, false) {
-		p.attempt(call)
+		p.startAttempt(call)
 		return
 	}
 	p.finish(call, r)
@@ -87,24 +91,24 @@
 		return
 	}
 	delete(p.calls, e.Call)
-	used := call.carried
+	used := call.allocation
 	if e.Attempts >= 0 {
 		used = min(e.Attempts, used)
 	}
 	call.attempts += used
 	if e.Whole && e.Attempts >= 0 {
-		p.node.ledger.answered(call, e.Needed)
+		p.node.ledger.recordNeed(call, e.Needed)
 	}
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget-call.attempts)
+		p.node.ledger.release(call.parent, call.budget-call.attempts)
 	}
 	if call.claim != nil {
 		p.node.claims.ended(call, coltsfootward.ExecutionRan, e.Answer)
 	}
 }
 
-// callerLeft cancels everything below a call that nobody waits for. Work for
-// callers that have gone is what keeps an overloaded service from recovering.
+// callerLeft cancels everything below a call whose caller has gone away. Work
+// for callers that are gone keeps an overloaded service from recovering.
 func (p *entryPart) callerLeft(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
@@ -112,16 +116,16 @@
 	}
 	delete(p.calls, id)
 	execution := coltsfootward.ExecutionNotRun
-	if call.running || call.answered || call.doubtful {
+	if call.inFlight || call.answered || call.mayHaveRun {
 		execution = coltsfootward.ExecutionUnknown
 	}
-	if call.running || call.answered {
-		call.attempts += call.carried
+	if call.inFlight || call.answered {
+		call.attempts += call.allocation
 	}
-	if call.running {
-		p.node.placement.left(call, false)
+	if call.inFlight {
+		p.node.placement.attemptCancelled(call, false)
 	}
-	if call.running || call.answered {
+	if call.inFlight || call.answered {
 		p.node.act(CancelAttempt{Call: id})
 	} else {
 		p.node.rate.release(call.head.Organisation, call.admission)
@@ -130,13 +134,13 @@
 		p.node.claims.ended(call, execution, nil)
 	}
 	if call.parent != "" {
-		p.node.ledger.giveBack(call.parent, call.budget-call.attempts)
+		p.node.ledger.release(call.parent, call.budget-call.attempts)
 	}
 }
 
-// tick ends calls whose time has passed while they waited.
+// tick ends calls whose deadline has passed while they waited.
 func (p *entryPart) tick() {
-	p.moveGates()
+	p.updateGates()
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
 		if call.answered || p.node.now.Expiry < call.deadline {
@@ -148,17 +152,18 @@
 
 func (p *entryPart) expire(call *entryCall) {
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalTimeout, "the caller's time ran out")
-	if call.running {
-		p.node.placement.left(call, true)
+	if call.inFlight {
+		p.node.placement.attemptCancelled(call, true)
 		p.node.act(CancelAttempt{Call: call.id})
 		r = r.WithExecution(coltsfootward.ExecutionUnknown)
-		call.attempts += call.carried
+		call.attempts += call.allocation
 	}
 	p.giveUp(call, r)
 }
 
-// shorter returns the shorter of two times of which zero means no limit.
-func shorter(limit, other time.Duration) time.Duration {
+// shorterLimit returns the shorter of two durations; a limit of zero means no
+// limit.
+func shorterLimit(limit, other time.Duration) time.Duration {
 	if limit == 0 {
 		return other
 	}
