--- a/cmd/daemon/exposition_test.go
+++ b/cmd/daemon/exposition_test.go
@@ -19,7 +19,7 @@
 		node.Refuse{Call: 1, Refusal: coltsfootward.NewRefusal(coltsfootward.RefusalOverRate, "")},
 	}})
 	m.observe(loop.Observation{Event: node.RequestArrived{Call: 2}})
-	m.observe(loop.Observation{Event: node.CallDone{Call: 2, Whole: true}})
+	m.observe(loop.Observation{Event: node.CallDone{Call: 2, Complete: true}})
 	w := httptest.NewRecorder()
 	m.serveText(w, nil)
 	text := w.Body.String()
--- a/cmd/daemon/hosted.go
+++ b/cmd/daemon/hosted.go
@@ -87,18 +87,18 @@
 	p.serve(faces.backend, h.heartbeatRouter())
 	p.serve(faces.ready, h.readyRouter())
 	h.watcher = document.New(document.Options{
-		Source:   documents,
-		Duty:     h.documentDuty,
-		Found:    h.documentFound,
-		Failed:   h.platformFailed,
-		Answered: h.platformAnswered,
+		Source:     documents,
+		Task:       h.documentDuty,
+		OnDocument: h.documentFound,
+		OnError:    h.platformFailed,
+		OnResponse: h.platformAnswered,
 	})
 	h.wait.Go(h.findBackend)
 }
 
-func (h *hosted) documentDuty() node.DocumentDuty {
+func (h *hosted) documentDuty() node.DocumentTask {
 	duty := node.DocumentNone
-	h.parts.loop.Inspect(func(n *node.Node) { duty = n.DocumentDuty() })
+	h.parts.loop.Inspect(func(n *node.Node) { duty = n.DocumentTask() })
 	return duty
 }
 
@@ -170,7 +170,7 @@
 		Service:  coltsfootward.ServiceName(h.parts.settings.Backend.Service),
 		Slots:    current.Slots,
 		Draining: current.State != coltsfootward.BackendReady,
-		Cold:     current.Cold,
+		Cold:     current.ColdRemaining,
 	})
 	return h.parts.loop.Inspect(func(*node.Node) {})
 }
@@ -214,7 +214,7 @@
 	defer h.mu.Unlock()
 	recovered := h.machine.Recover(coltsfootward.Heartbeat{
 		ID: health.ID, Service: h.machine.Service, Address: h.machine.Address,
-		Slots: health.Slots, Cold: health.Cold, State: coltsfootward.BackendReady,
+		Slots: health.Slots, ColdRemaining: health.Cold, State: coltsfootward.BackendReady,
 	})
 	if recovered {
 		h.parts.reporter.event(record.BackendFound, "backend", health.ID)
--- a/cmd/daemon/metrics.go
+++ b/cmd/daemon/metrics.go
@@ -131,7 +131,7 @@
 		}
 	case node.MessageArrived:
 		m.add(countMessagesReceived, 1)
-	case node.TableAnswered:
+	case node.TableResult:
 		if e.Err != nil && e.Err != coltsfootward.ErrConflict {
 			m.add(countPlatformFailures, 1)
 		}
@@ -141,7 +141,7 @@
 func (m *metrics) done(e node.CallDone) {
 	m.waited(e.Call, m.latencies.answered)
 	delete(m.entries, e.Call)
-	if e.Whole {
+	if e.Complete {
 		m.add(countAnswersWhole, 1)
 		return
 	}
@@ -233,7 +233,7 @@
 		Limit:             load.Limit,
 		ShedLevel:         load.ShedLevel,
 		OutOfService:      n.OutOfService().Domains,
-		ColdMilliseconds:  cold.Left.Milliseconds(),
+		ColdMilliseconds:  cold.Remaining.Milliseconds(),
 		ColdPassed:        cold.Passed,
 		ColdRefused:       cold.Refused,
 	}
--- a/cmd/daemon/parts.go
+++ b/cmd/daemon/parts.go
@@ -69,12 +69,12 @@
 	handler := &peerHandler{ready: make(chan struct{}), reporter: p.reporter, metrics: p.metrics}
 	p.transport = peer.NewTransport(options.Self, clock.Now, handler, faces.peers)
 	source := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	p.loop = loop.New(node.New(options, source, clock.Now()), clock, loop.Outlets{
+	p.loop = loop.New(node.New(options, source, clock.Now()), clock, loop.Handlers{
 		Send:    p.send,
 		Table:   p.table,
 		Report:  p.reporter.report,
 		Drained: p.left,
-		InForce: func(c coltsfootward.Configuration) {
+		ConfigurationInForce: func(c coltsfootward.Configuration) {
 			if p.hosted != nil {
 				p.hosted.inForce(c)
 			}
--- a/cmd/daemon/report.go
+++ b/cmd/daemon/report.go
@@ -97,6 +97,6 @@
 // heard takes in the hybrid clock of a peer's message.
 func (r *reporter) heard(m message.Message) {
 	if stamper, ok := m.(message.Stamper); ok {
-		r.timeline.Heard(stamper.SentAt(), time.Now())
+		r.timeline.Observe(stamper.SentAt(), time.Now())
 	}
 }
--- a/core/admission/cold.go
+++ b/core/admission/cold.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// Bounds reports whether there is a limit for cold servers.
-func (s *ColdStart) Bounds() bool { return s.rate > 0 }
+// Limited reports whether there is a limit for cold servers.
+func (s *ColdStart) Limited() bool { return s.rate > 0 }
 
 // Wait returns the time until a request may start at a cold server.
 func (s *ColdStart) Wait(now time.Duration) time.Duration {
-	if !s.Bounds() {
+	if !s.Limited() {
 		return 0
 	}
 	return max(s.next-now, s.starts[s.oldest]+coldWindow-now, 0)
@@ -62,7 +62,7 @@
 
 // Started records a start.
 func (s *ColdStart) Started(now time.Duration) {
-	if !s.Bounds() {
+	if !s.Limited() {
 		return
 	}
 	s.starts[s.oldest] = now
@@ -70,8 +70,8 @@
 	s.next = now + time.Duration(float64(coldWindow)/s.rate)
 }
 
-// Room returns how many requests may wait for a cold server.
-func (s *ColdStart) Room(now time.Duration) int {
+// QueueLimit returns how many requests may wait for a cold server.
+func (s *ColdStart) QueueLimit(now time.Duration) int {
 	if s.Wait(now) > maxColdWait {
 		return 0
 	}
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -143,9 +143,9 @@
 	return c.shedder.Level(organisation, class)
 }
 
-// RefusedBelow records that a child call of a request in service was refused for lack
+// ChildRefused records that a child call of a request in service was refused for lack
 // of capacity.
-func (c *Controller) RefusedBelow(id RequestID) {
+func (c *Controller) ChildRefused(id RequestID) {
 	if s, ok := c.running[id]; ok {
 		c.shedder.ChildShed(s.request)
 	}
@@ -326,10 +326,10 @@
 	return c.everShed && now-c.lastShed <= overloadHold
 }
 
-// ReturnAfter returns how long refused callers should wait before they retry, without
+// RetryAfter returns how long refused callers should wait before they retry, without
 // jitter. The duration of an overload cannot be known in advance. An overload that
 // has lasted for a while is likely to last about as long again, so the delay is its
 // present age, between minRetryAfter and maxRetryAfter.
-func (c *Controller) ReturnAfter(now time.Duration) time.Duration {
+func (c *Controller) RetryAfter(now time.Duration) time.Duration {
 	return min(max(minRetryAfter, now-c.overloadedSince), maxRetryAfter)
 }
--- a/core/attempt/forecast.go
+++ b/core/attempt/forecast.go
@@ -60,12 +60,12 @@
 	return max(f.services[service].need.rounded(1), 1)
 }
 
-// Knows reports whether a call of the service has succeeded.
-func (f *Forecast) Knows(service coltsfootward.ServiceName) bool {
+// HasObservation reports whether a call of the service has succeeded.
+func (f *Forecast) HasObservation(service coltsfootward.ServiceName) bool {
 	return f.services[service].need.hasValue
 }
 
-// Carry returns the part of a call's remaining attempts that its next attempt gets
+// NextAllocation returns the part of a call's remaining attempts that its next attempt gets
 // if another attempt may follow a lost one.
 //
 // A lost attempt counts as if it had used everything that it was given. Enough for
@@ -74,12 +74,12 @@
 // the next attempt gets all of them. Before any call of the service has succeeded,
 // a quarter is kept back until a call fails, since it may have failed for lack of
 // this quarter.
-func (f *Forecast) Carry(service coltsfootward.ServiceName, remaining int) int {
+func (f *Forecast) NextAllocation(service coltsfootward.ServiceName, remaining int) int {
 	need := f.Need(service)
 	switch {
-	case !f.Knows(service) && f.services[service].failed:
+	case !f.HasObservation(service) && f.services[service].failed:
 		return remaining
-	case !f.Knows(service):
+	case !f.HasObservation(service):
 		return remaining - remaining/4
 	case remaining < 2*need:
 		return remaining
@@ -88,24 +88,24 @@
 	}
 }
 
-// Missed records that a call was not answered.
-func (f *Forecast) Missed(service coltsfootward.ServiceName) {
+// RecordFailure records that a call was not answered.
+func (f *Forecast) RecordFailure(service coltsfootward.ServiceName) {
 	d := f.services[service]
 	d.failed = true
 	f.set(service, d)
 }
 
-// Answered records the number of attempts that a successful call needed. Failed
+// RecordNeed records the number of attempts that a successful call needed. Failed
 // attempts are not included: the maximum would follow the calls with the most
 // failures, and every call would seem too expensive to retry.
-func (f *Forecast) Answered(service coltsfootward.ServiceName, needed int) {
+func (f *Forecast) RecordNeed(service coltsfootward.ServiceName, needed int) {
 	d := f.services[service]
 	d.need = d.need.with(needed)
 	f.set(service, d)
 }
 
-// Ended records the calls that a request made until it ended.
-func (f *Forecast) Ended(e *Escrow) {
+// RecordCalls records the calls that a request made until it ended.
+func (f *Forecast) RecordCalls(e *Budget) {
 	for service, d := range f.services {
 		if _, ok := e.childCalls[service]; !ok && d.calls.hasValue {
 			d.calls = d.calls.with(0)
--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -83,15 +83,15 @@
 }
 
 func (m *Machine) sameStart(h coltsfootward.Heartbeat) bool {
-	return h.ID == m.current.ID && h.Started.Equal(m.current.Started)
+	return h.ID == m.current.ID && h.StartedAt.Equal(m.current.StartedAt)
 }
 
 // later reports whether a heartbeat is of a later start than the current one.
 func (m *Machine) later(h coltsfootward.Heartbeat) bool {
-	if h.Started.IsZero() || m.current.Started.IsZero() {
+	if h.StartedAt.IsZero() || m.current.StartedAt.IsZero() {
 		return h.ID != m.current.ID
 	}
-	return h.Started.After(m.current.Started.Add(-startSkew)) && (h.ID != m.current.ID || h.Started.After(m.current.Started))
+	return h.StartedAt.After(m.current.StartedAt.Add(-startSkew)) && (h.ID != m.current.ID || h.StartedAt.After(m.current.StartedAt))
 }
 
 // takeNext takes a further heartbeat of the same start. One that has said that
@@ -113,20 +113,20 @@
 // heartbeat would pass for that of a new start, and requests would go to a server
 // whose end has been acknowledged.
 func (m *Machine) over(h coltsfootward.Heartbeat) bool {
-	if h.Started.IsZero() || m.ended.Started.IsZero() {
+	if h.StartedAt.IsZero() || m.ended.StartedAt.IsZero() {
 		return false
 	}
 	if h.ID == m.ended.ID {
-		return !h.Started.After(m.ended.Started)
+		return !h.StartedAt.After(m.ended.StartedAt)
 	}
-	return h.Started.Before(m.ended.Started.Add(-startSkew))
+	return h.StartedAt.Before(m.ended.StartedAt.Add(-startSkew))
 }
 
 // takeEnd takes in that a backend server has announced its end. The end of
 // another one than the current one changes nothing here, unless it is known to
 // have started later: then the current one is gone, too.
 func (m *Machine) takeEnd(h coltsfootward.Heartbeat) Verdict {
-	if !h.Started.Before(m.ended.Started) {
+	if !h.StartedAt.Before(m.ended.StartedAt) {
 		m.ended = h
 	}
 	if !m.known {
@@ -134,16 +134,16 @@
 		m.known = true
 		return VerdictTaken
 	}
-	current := m.current.Started
-	newer := !h.Started.IsZero() && !current.IsZero() && h.Started.After(current)
-	if !newer && (h.ID != m.current.ID || !h.Started.IsZero() && h.Started.Before(current)) {
+	current := m.current.StartedAt
+	newer := !h.StartedAt.IsZero() && !current.IsZero() && h.StartedAt.After(current)
+	if !newer && (h.ID != m.current.ID || !h.StartedAt.IsZero() && h.StartedAt.Before(current)) {
 		return VerdictOld
 	}
 	m.recovered = false
 	m.current.ID = h.ID
 	m.current.State = coltsfootward.BackendGone
-	if !h.Started.IsZero() {
-		m.current.Started = h.Started
+	if !h.StartedAt.IsZero() {
+		m.current.StartedAt = h.StartedAt
 	}
 	return VerdictTaken
 }
--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -15,7 +15,7 @@
 func beat(id string, d time.Duration, sequence uint64, state coltsfootward.BackendState) coltsfootward.Heartbeat {
 	return coltsfootward.Heartbeat{
 		ID: id, Service: "quotes", Address: "10.0.0.1:80", Slots: 4,
-		Started: started.Add(d), Sequence: sequence, State: state,
+		StartedAt: started.Add(d), Sequence: sequence, State: state,
 	}
 }
 
@@ -181,18 +181,18 @@
 		for i, h := range all {
 			_, before := m.Current()
 			verdict := m.Take(h)
-			if h.State == ready && h.Started.After(newest) && verdict != backend.VerdictTaken {
+			if h.State == ready && h.StartedAt.After(newest) && verdict != backend.VerdictTaken {
 				t.Fatalf("seed %d, word %d: the newest start's %+v got %s", seed, i, h, verdict)
 			}
-			newest = later(newest, h.Started)
+			newest = later(newest, h.StartedAt)
 			if verdict != backend.VerdictForeign && h.State != ready {
-				left = later(left, h.Started)
+				left = later(left, h.StartedAt)
 			}
 			current, known := m.Current()
 			if before && !known {
 				t.Fatalf("seed %d, word %d: the server is no longer known", seed, i)
 			}
-			if current.State == ready && !current.Started.IsZero() && !current.Started.After(left) {
+			if current.State == ready && !current.StartedAt.IsZero() && !current.StartedAt.After(left) {
 				t.Fatalf("seed %d, word %d: %+v made a server ready that had said that it leaves", seed, i, h)
 			}
 		}
--- a/core/claim/benchmark_test.go
+++ b/core/claim/benchmark_test.go
@@ -14,7 +14,7 @@
 // retained claim takes.
 func BenchmarkClaim(b *testing.B) {
 	start := coltsfootward.At(time.Hour)
-	h := claim.NewFirstHolder(claim.Options{Claims: 1 << 30}, start)
+	h := claim.NewFirstHolder(claim.Options{MaximumClaims: 1 << 30}, start)
 	text := timedKey(start.Wall)[:30]
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -103,20 +103,20 @@
 	// Life is how long the request of a granted claim may be dispatched. It must be
 	// well below Window. The default is 30 s.
 	Life time.Duration
-	// Claims is the maximum number of retained claims. The default is 100 000.
-	Claims int
-	// AnswerBytes is the maximum memory for kept responses, in bytes. The default
+	// MaximumClaims is the maximum number of retained claims. The default is 100 000.
+	MaximumClaims int
+	// MaximumAnswerBytes is the maximum memory for kept responses, in bytes. The default
 	// is 16 MiB.
-	AnswerBytes int
+	MaximumAnswerBytes int
 }
 
 // The defaults of Options.
 const (
-	DefaultWindow      = 10 * time.Minute
-	DefaultClockMargin = 5 * time.Second
-	DefaultLife        = 30 * time.Second
-	DefaultClaims      = 100_000
-	DefaultAnswerBytes = 16 << 20
+	DefaultWindow             = 10 * time.Minute
+	DefaultClockMargin        = 5 * time.Second
+	DefaultLife               = 30 * time.Second
+	DefaultMaximumClaims      = 100_000
+	DefaultMaximumAnswerBytes = 16 << 20
 )
 
 // retention is how long a claim stays in memory. Its request may be dispatched
@@ -134,11 +134,11 @@
 	if o.Life <= 0 {
 		o.Life = min(DefaultLife, o.Window/4)
 	}
-	if o.Claims <= 0 {
-		o.Claims = DefaultClaims
+	if o.MaximumClaims <= 0 {
+		o.MaximumClaims = DefaultMaximumClaims
 	}
-	if o.AnswerBytes <= 0 {
-		o.AnswerBytes = DefaultAnswerBytes
+	if o.MaximumAnswerBytes <= 0 {
+		o.MaximumAnswerBytes = DefaultMaximumAnswerBytes
 	}
 	return o
 }
--- a/core/claim/handover.go
+++ b/core/claim/handover.go
@@ -48,7 +48,7 @@
 	return handover
 }
 
-// Take restores the predecessor's state from a handover: the holder then has the
+// Restore restores the predecessor's state from a handover: the holder then has the
 // predecessor's claims, and its term counts from the predecessor's beginning.
 // Ages are as of the creation of the handover, so claims are retained for longer
 // if it is applied later.
@@ -56,7 +56,7 @@
 // The handover must be that of the term directly before this one. Without it,
 // keys without a timestamp would be held off for a window after each planned
 // restart of a holder.
-func (h *Holder) Take(now coltsfootward.Instant, handover Handover) {
+func (h *Holder) Restore(now coltsfootward.Instant, handover Handover) {
 	h.first = handover.First
 	h.began = coltsfootward.Instant{
 		Monotonic: now.Monotonic - handover.Held,
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -73,7 +73,7 @@
 	// would let its request run twice, so new claims are refused until the
 	// retention of the oldest one ends. Released claims count until then, to bound
 	// the memory.
-	if len(h.order) >= h.options.Claims {
+	if len(h.order) >= h.options.MaximumClaims {
 		return Verdict{Decision: Full, RetryAfter: h.order[0].granted + h.options.retention() - now.Monotonic}
 	}
 	e := &entry{key: r.Key, id: r.ID, content: r.Content, granted: now.Monotonic}
@@ -157,7 +157,7 @@
 	}
 	e.ended = true
 	e.execution = execution
-	if size := answer.size(); answer != nil && h.answerBytes+size <= h.options.AnswerBytes {
+	if size := answer.size(); answer != nil && h.answerBytes+size <= h.options.MaximumAnswerBytes {
 		e.answer = answer
 		h.answerBytes += size
 	}
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -63,7 +63,7 @@
 	}},
 	{"handover", func(w *model) bool {
 		next := claim.NewHolder(claim.Options{}, w.now)
-		next.Take(w.now, w.holder.Handover(w.now))
+		next.Restore(w.now, w.holder.Handover(w.now))
 		w.holder = next
 		return true
 	}},
@@ -216,12 +216,12 @@
 			h.End(start, first.Key, "z", coltsfootward.ExecutionNotRun, nil)
 		}, repeat, time.Second, claim.Running},
 		{"key without timestamp after a handover", false, func(h *claim.Holder) {
-			h.Take(start, claim.NewFirstHolder(claim.Options{}, start).Handover(start))
+			h.Restore(start, claim.NewFirstHolder(claim.Options{}, start).Handover(start))
 		}, first, time.Second, claim.Granted},
 		{"repeat after a handover", false, func(h *claim.Holder) {
 			before := claim.NewFirstHolder(claim.Options{}, start)
 			before.Claim(start, first)
-			h.Take(start, before.Handover(start))
+			h.Restore(start, before.Handover(start))
 		}, repeat, time.Second, claim.Running},
 		{"key without timestamp after a takeover", false, func(*claim.Holder) {}, first, window + claim.DefaultLife - 1, claim.HeldOff},
 		{"key without timestamp a window later", false, func(*claim.Holder) {}, first, window + claim.DefaultLife, claim.Granted},
@@ -245,7 +245,7 @@
 // claim whose request may have run.
 func TestFullHolderKeepsClaims(t *testing.T) {
 	start := coltsfootward.At(time.Hour)
-	h := claim.NewFirstHolder(claim.Options{Claims: 100}, start)
+	h := claim.NewFirstHolder(claim.Options{MaximumClaims: 100}, start)
 	request := func(i int) claim.Request {
 		return claim.Request{Key: claim.Key{Text: fmt.Sprint(i)}, ID: id(i)}
 	}
--- a/core/configuration/store.go
+++ b/core/configuration/store.go
@@ -36,14 +36,14 @@
 // change was based.
 type ConflictError struct {
 	Object string
-	// Found is the object's current revision, BasedOn the revision that the change was
+	// Current is the object's current revision, BasedOn the revision that the change was
 	// based on.
-	Found, BasedOn coltsfootward.Revision
+	Current, BasedOn coltsfootward.Revision
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("configuration: %s is at revision %d, the change was based on %d: read it again and repeat the change if it still applies", e.Object, e.Found, e.BasedOn)
+	return fmt.Sprintf("configuration: %s is at revision %d, the change was based on %d: read it again and repeat the change if it still applies", e.Object, e.Current, e.BasedOn)
 }
 
 // ChangeIDError reports that another change was already stored under the same change ID.
@@ -79,13 +79,13 @@
 	return fmt.Sprintf("configuration: the id or the secret of key %s belongs to another key: issue a key with a new id and a new secret", e.KeyID)
 }
 
-// WithdrawnError reports an attempt to issue a key that was withdrawn before.
-type WithdrawnError struct {
+// KeyWithdrawnError reports an attempt to issue a key that was withdrawn before.
+type KeyWithdrawnError struct {
 	KeyID string
 }
 
 // Error implements error.
-func (e *WithdrawnError) Error() string {
+func (e *KeyWithdrawnError) Error() string {
 	return fmt.Sprintf("configuration: key %s was withdrawn: issue a new key", e.KeyID)
 }
 
@@ -100,20 +100,20 @@
 	return fmt.Sprintf("configuration: change %s was not stored because of too many concurrent changes: send it again", e.ChangeID)
 }
 
-// DoubtError reports that the platform did not answer, so that it is unknown whether the
+// UnknownOutcomeError reports that the platform did not answer, so that it is unknown whether the
 // change was stored.
-type DoubtError struct {
+type UnknownOutcomeError struct {
 	ChangeID string
 	Err      error
 }
 
 // Error implements error.
-func (e *DoubtError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("configuration: the platform did not answer whether change %s was stored: %v: send it again with the same change id", e.ChangeID, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *DoubtError) Unwrap() error { return e.Err }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
 // Store writes changes to the platform's table. It is safe for concurrent use.
 //
@@ -186,7 +186,7 @@
 	if errors.Is(last, coltsfootward.ErrConflict) {
 		return 0, &BusyError{ChangeID: change.ID}
 	}
-	return 0, &DoubtError{ChangeID: change.ID, Err: last}
+	return 0, &UnknownOutcomeError{ChangeID: change.ID, Err: last}
 }
 
 // attempt reads the rows that the change depends on and writes the change on condition
@@ -262,13 +262,13 @@
 		}
 	}
 	if !precondition.Force && current.Revision != precondition.BasedOn {
-		return &ConflictError{Object: node.ObjectKey(change), Found: current.Revision, BasedOn: precondition.BasedOn}
+		return &ConflictError{Object: node.ObjectKey(change), Current: current.Revision, BasedOn: precondition.BasedOn}
 	}
 	if current.Key == nil {
 		return nil
 	}
 	if current.Key.Withdrawn && !change.Key.Withdrawn {
-		return &WithdrawnError{KeyID: change.Key.ID}
+		return &KeyWithdrawnError{KeyID: change.Key.ID}
 	}
 	if current.Key.Digest != change.Key.Digest {
 		return &KeyReusedError{KeyID: change.Key.ID}
--- a/core/configuration/store_test.go
+++ b/core/configuration/store_test.go
@@ -121,7 +121,7 @@
 func TestUnavailableTableReturnsDoubtError(t *testing.T) {
 	table := nodetest.New(1).Table
 	table.Outage = true
-	var doubt *configuration.DoubtError
+	var doubt *configuration.UnknownOutcomeError
 	if _, err := submit(t, table, organisation("a", "traders", 1), 0); !errors.As(err, &doubt) {
 		t.Errorf("got %v, want a DoubtError", err)
 	}
@@ -151,7 +151,7 @@
 	}{
 		{"the change id of another change: the new change would be lost", organisation("a", "traders", 2), 1, new(*configuration.ChangeIDError)},
 		{"a key of an unknown organisation: it would have no rate", unknownOwner, 0, new(*configuration.UnknownOrganisationError)},
-		{"a withdrawn key: somebody may still possess it", key("k4", "traders", false), 3, new(*configuration.WithdrawnError)},
+		{"a withdrawn key: somebody may still possess it", key("k4", "traders", false), 3, new(*configuration.KeyWithdrawnError)},
 		{"the secret of another key: withdrawing one key would withdraw both", sameSecret, 0, new(*configuration.KeyReusedError)},
 		{"the id of another key: the new key would replace it in the table", sameID, 3, new(*configuration.KeyReusedError)},
 		{"a change based on an older revision: it would undo another operator's change", organisation("c", "traders", 3), 0, new(*configuration.ConflictError)},
--- a/core/lease/slot.go
+++ b/core/lease/slot.go
@@ -149,9 +149,9 @@
 // other node has held the slot since.
 func (s *Slot) Began() coltsfootward.Instant { return s.began }
 
-// Mine reports whether the record, as last read, names this node's incarnation as
+// IsHolderOfRecord reports whether the record, as last read, names this node's incarnation as
 // the holder, even if the term has ended.
-func (s *Slot) Mine() bool { return s.holderOfRecord }
+func (s *Slot) IsHolderOfRecord() bool { return s.holderOfRecord }
 
 // Releasing reports whether the node is releasing the slot. It never holds the
 // slot again in this epoch.
@@ -163,9 +163,9 @@
 	return s.record.Holder, s.recordRead && s.version != 0 && !s.record.Released
 }
 
-// First reports whether nothing can have been granted for the slot before the
+// UnusedBefore reports whether nothing can have been granted for the slot before the
 // node's present epoch.
-func (s *Slot) First() bool { return s.unusedBefore }
+func (s *Slot) UnusedBefore() bool { return s.unusedBefore }
 
 // Release starts releasing the slot. The node stops holding it at once. unused
 // states that the node has granted nothing for the slot in this epoch.
@@ -178,8 +178,8 @@
 	s.nextRead = 0
 }
 
-// Look makes the record due for reading at the next Tick.
-func (s *Slot) Look() { s.nextRead = 0 }
+// RequestRead makes the record due for reading at the next Tick.
+func (s *Slot) RequestRead() { s.nextRead = 0 }
 
 // Tick returns the action that is due: a read of the record, which a renewal also
 // starts with. It returns nil if none is due.
--- a/core/membership/benchmark_test.go
+++ b/core/membership/benchmark_test.go
@@ -71,13 +71,13 @@
 
 // machineWithMembers returns a machine with size members, in 18 domains and 1,500 services, and the
 // updates with which they were added.
-func machineWithMembers(size int) (*membership.Machine, []message.News) {
+func machineWithMembers(size int) (*membership.Machine, []message.MemberUpdate) {
 	self := coltsfootward.Instance{ID: "self", Domain: "d00", Address: "10.0.0.1:7000", Incarnation: 1}
 	options := membership.Options{Self: self, Send: func(coltsfootward.Instance, message.Message) {}}
 	m := membership.New(options, rand.New(rand.NewPCG(1, 2)), coltsfootward.At(time.Hour))
 	var page message.RosterPage
 	for i := range size {
-		page.News = append(page.News, message.News{State: message.MemberAlive, Announcement: message.Announcement{
+		page.Updates = append(page.Updates, message.MemberUpdate{State: message.MemberAlive, Announcement: message.Announcement{
 			Instance: coltsfootward.Instance{
 				ID: coltsfootward.InstanceID(fmt.Sprintf("instance-%05d", i)), Domain: coltsfootward.FailureDomain(fmt.Sprintf("d%02d", i%18)),
 				Address: fmt.Sprintf("10.1.%d.%d:7000", i/250, i%250), OperatorAddress: fmt.Sprintf("10.1.%d.%d:7100", i/250, i%250), Incarnation: 1_800_000_000_000_000_000,
@@ -86,7 +86,7 @@
 		}})
 	}
 	m.Receive(coltsfootward.At(time.Hour), "instance-00001", &page, 0)
-	return m, page.News
+	return m, page.Updates
 }
 
 // BenchmarkRosterMemory measures the memory of a roster.
@@ -121,7 +121,7 @@
 				for k := range 8 {
 					n := &updates[(i*8+k)%size]
 					n.Announcement.Version++
-					gossip.News = append(gossip.News, *n)
+					gossip.Updates = append(gossip.Updates, *n)
 				}
 				m.Receive(now, "instance-00001", gossip, 0)
 			}
@@ -165,7 +165,7 @@
 				c := newCluster(1)
 				first := c.add("first", "d00", 1)
 				_, updates := machineWithMembers(size)
-				first.machine.Receive(coltsfootward.At(c.now), "nobody", &message.RosterPage{News: updates}, 0)
+				first.machine.Receive(coltsfootward.At(c.now), "nobody", &message.RosterPage{Updates: updates}, 0)
 				c.countBytes = true
 				joined := c.add("fresh", "d00", 1)
 				took, ok := c.runUntil(10*time.Minute, func() bool { return len(joined.machine.All()) >= size })
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -14,7 +14,7 @@
 	options      Options
 	source       *rand.Rand
 	now          coltsfootward.Instant
-	self         message.News
+	self         message.MemberUpdate
 	roster       *roster
 	queue        *queue
 	probes       prober
@@ -59,7 +59,7 @@
 	}
 	m.probes.next = now.Monotonic + m.jitter(m.options.ProbeInterval)
 	m.nextSync = now.Monotonic + m.jitter(m.options.SyncInterval)
-	m.self = message.News{Announcement: message.Announcement{Instance: options.Self}, State: message.MemberAlive}
+	m.self = message.MemberUpdate{Announcement: message.Announcement{Instance: options.Self}, State: message.MemberAlive}
 	m.publish(func(*message.Announcement) {})
 	return m
 }
@@ -90,18 +90,18 @@
 	})
 }
 
-// Leave publishes that the node accepts no new work and is about to stop.
-func (m *Machine) Leave() {
+// AnnounceLeaving publishes that the node accepts no new work and is about to stop.
+func (m *Machine) AnnounceLeaving() {
 	m.publish(func(a *message.Announcement) {
 		a.Draining = true
 		a.Leaving = true
 	})
 }
 
-// Left notifies a few members immediately that the node stops now. If none of the
+// AnnounceLeft notifies a few members immediately that the node stops now. If none of the
 // messages arrives, the other members detect the stop by probes, as they detect a
 // killed node.
-func (m *Machine) Left() {
+func (m *Machine) AnnounceLeft() {
 	m.self.State = message.MemberLeft
 	m.publish(func(*message.Announcement) {})
 	for range indirectProbes {
@@ -164,15 +164,15 @@
 	m.now = now
 	switch r := received.(type) {
 	case *message.Announcement:
-		m.merge(message.News{Announcement: *r, State: message.MemberAlive}, true)
+		m.merge(message.MemberUpdate{Announcement: *r, State: message.MemberAlive}, true)
 	case *message.Gossip:
-		m.mergeAll(r.News)
+		m.mergeAll(r.Updates)
 	case *message.Probe:
 		m.handleProbe(from, r)
 	case *message.ProbeRequest:
 		m.handleProbeRequest(from, r)
 	case *message.ProbeAnswer:
-		m.mergeAll(r.Gossip.News)
+		m.mergeAll(r.Gossip.Updates)
 		m.handleProbeAnswer(r.Sequence)
 	case *message.RosterDigest:
 		m.handleRosterDigest(from, r)
@@ -206,7 +206,7 @@
 	state.unanswered = 0
 	if state.unreachable {
 		state.unreachable = false
-		m.options.Reachable(entry.domain(), true)
+		m.options.OnReachable(entry.domain(), true)
 		m.syncWith(entry)
 	}
 }
@@ -221,7 +221,7 @@
 	start := m.position(list)
 	for i := range min(len(list), returnTargets) {
 		if entry := list[(start+i)%len(list)]; entry.id() != m.options.Self.ID {
-			m.send(entry, &message.Gossip{News: []message.News{m.self}, Digest: m.options.Digest()})
+			m.send(entry, &message.Gossip{Updates: []message.MemberUpdate{m.self}, Digest: m.options.Digest()})
 		}
 	}
 }
@@ -235,7 +235,7 @@
 	return state
 }
 
-func (m *Machine) mergeAll(updates []message.News) {
+func (m *Machine) mergeAll(updates []message.MemberUpdate) {
 	for _, n := range updates {
 		m.merge(n, true)
 	}
@@ -243,7 +243,7 @@
 
 // merge applies an update unless it is stale, and reports whether it was applied. If
 // spread is set, an applied update is queued for gossip.
-func (m *Machine) merge(update message.News, spread bool) bool {
+func (m *Machine) merge(update message.MemberUpdate, spread bool) bool {
 	id := update.Announcement.Instance.ID
 	if id == m.options.Self.ID {
 		m.refute(update)
@@ -262,9 +262,9 @@
 	return true
 }
 
-func (m *Machine) apply(update message.News, spread bool) {
+func (m *Machine) apply(update message.MemberUpdate, spread bool) {
 	id := update.Announcement.Instance.ID
-	var old message.News
+	var old message.MemberUpdate
 	if entry, ok := m.roster.members[id]; ok {
 		old = entry.latest
 	}
@@ -278,7 +278,7 @@
 	if spread {
 		m.queue.add(update)
 	}
-	m.options.Changed(old, update)
+	m.options.OnChange(old, update)
 }
 
 func (m *Machine) trackDomain(domain coltsfootward.FailureDomain) {
@@ -306,7 +306,7 @@
 
 // refute overrides an update about this node by announcing a higher version. An
 // update with another incarnation is ignored: the higher incarnation prevails anyway.
-func (m *Machine) refute(update message.News) {
+func (m *Machine) refute(update message.MemberUpdate) {
 	a := update.Announcement
 	if a.Instance.Incarnation != m.options.Self.Incarnation || !update.Newer(m.self) {
 		return
@@ -356,7 +356,7 @@
 		return
 	}
 	for _, target := range targets {
-		m.send(target, &message.Gossip{News: m.nextUpdates(), Digest: m.options.Digest()})
+		m.send(target, &message.Gossip{Updates: m.nextUpdates(), Digest: m.options.Digest()})
 	}
 }
 
@@ -397,7 +397,7 @@
 }
 
 // nextUpdates returns the updates to send with the next message.
-func (m *Machine) nextUpdates() []message.News {
+func (m *Machine) nextUpdates() []message.MemberUpdate {
 	return m.queue.next(m.retransmissions())
 }
 
--- a/core/membership/machine_test.go
+++ b/core/membership/machine_test.go
@@ -73,7 +73,7 @@
 	c := newConvergedCluster(t, 3, 2, 10)
 	old := c.members[4]
 	service := old.machine.Local().Service
-	stale := message.News{Announcement: old.machine.Local(), State: message.MemberGone}
+	stale := message.MemberUpdate{Announcement: old.machine.Local(), State: message.MemberGone}
 	stale.Announcement.Version += 1000
 	stale.Announcement.Draining = true
 	c.add(string(old.self.ID), string(old.self.Domain), 2).machine.Announce(service, 12, false)
@@ -88,7 +88,7 @@
 	}
 	for _, m := range c.members {
 		if m.alive {
-			m.machine.Receive(coltsfootward.At(c.now), "d00-00001", &message.Gossip{News: []message.News{stale}}, 0)
+			m.machine.Receive(coltsfootward.At(c.now), "d00-00001", &message.Gossip{Updates: []message.MemberUpdate{stale}}, 0)
 		}
 	}
 	for range 50 {
@@ -221,9 +221,9 @@
 // two halves would re-add it for each other for ever.
 func TestForgottenMemberIsNotReadded(t *testing.T) {
 	c := newConvergedCluster(t, 8, 1, 4)
-	gone := message.News{Announcement: c.members[1].machine.Local(), State: message.MemberGone}
+	gone := message.MemberUpdate{Announcement: c.members[1].machine.Local(), State: message.MemberGone}
 	gone.Announcement.Instance.ID = "d00-forgotten"
-	c.members[0].machine.Receive(coltsfootward.At(c.now), "d00-00001", &message.RosterPage{News: []message.News{gone}}, 0)
+	c.members[0].machine.Receive(coltsfootward.At(c.now), "d00-00001", &message.RosterPage{Updates: []message.MemberUpdate{gone}}, 0)
 	if got, ok := c.members[0].machine.Member("d00-forgotten"); ok {
 		t.Errorf("got %+v, want no entry", got)
 	}
--- a/core/membership/options.go
+++ b/core/membership/options.go
@@ -17,12 +17,12 @@
 	// Digest returns the configuration digest to send with all gossip; nil means an
 	// empty digest.
 	Digest func() message.ConfigurationDigest
-	// Changed is called for every update of another member that this node applies. It
+	// OnChange is called for every update of another member that this node applies. It
 	// may be nil.
-	Changed func(old, update message.News)
-	// Reachable is called when another failure domain becomes unreachable or reachable
+	OnChange func(old, update message.MemberUpdate)
+	// OnReachable is called when another failure domain becomes unreachable or reachable
 	// again. It may be nil.
-	Reachable func(domain coltsfootward.FailureDomain, reachable bool)
+	OnReachable func(domain coltsfootward.FailureDomain, reachable bool)
 	// ProbeInterval is the time between two probes, both within the node's domain and
 	// across domains. The default is 1 s.
 	ProbeInterval time.Duration
@@ -106,11 +106,11 @@
 	if o.Digest == nil {
 		o.Digest = func() message.ConfigurationDigest { return message.ConfigurationDigest{} }
 	}
-	if o.Changed == nil {
-		o.Changed = func(_, _ message.News) {}
+	if o.OnChange == nil {
+		o.OnChange = func(_, _ message.MemberUpdate) {}
 	}
-	if o.Reachable == nil {
-		o.Reachable = func(coltsfootward.FailureDomain, bool) {}
+	if o.OnReachable == nil {
+		o.OnReachable = func(coltsfootward.FailureDomain, bool) {}
 	}
 	return o
 }
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -111,12 +111,12 @@
 	if entry.latest.State != message.MemberAlive {
 		updates = append(updates, entry.latest)
 	}
-	return message.Gossip{News: updates, Digest: m.options.Digest()}
+	return message.Gossip{Updates: updates, Digest: m.options.Digest()}
 }
 
 func (m *Machine) handleProbe(from coltsfootward.InstanceID, r *message.Probe) {
 	m.merge(r.Self, true)
-	m.mergeAll(r.Gossip.News)
+	m.mergeAll(r.Gossip.Updates)
 	m.sendProbeAnswer(from, r.Sequence)
 }
 
@@ -127,7 +127,7 @@
 }
 
 func (m *Machine) handleProbeRequest(from coltsfootward.InstanceID, r *message.ProbeRequest) {
-	m.mergeAll(r.Gossip.News)
+	m.mergeAll(r.Gossip.Updates)
 	if entry, ok := m.roster.members[r.Target]; ok {
 		m.probe(entry, &probe{requester: from, requesterSequence: r.Sequence})
 	}
@@ -195,7 +195,7 @@
 		return
 	}
 	state.unreachable = true
-	m.options.Reachable(domain, false)
+	m.options.OnReachable(domain, false)
 }
 
 // suspect marks a member of this node's domain as suspected and gossips that. An
@@ -208,5 +208,5 @@
 	update := entry.latest
 	update.State = message.MemberSuspected
 	m.apply(update, true)
-	m.send(entry, &message.Gossip{News: []message.News{update}, Digest: m.options.Digest()})
+	m.send(entry, &message.Gossip{Updates: []message.MemberUpdate{update}, Digest: m.options.Digest()})
 }
--- a/core/membership/query.go
+++ b/core/membership/query.go
@@ -13,14 +13,14 @@
 type Member struct {
 	Announcement message.Announcement
 	State        message.MemberState
-	// Heard is when the latest message that this node received from the member itself
+	// LastSeen is when the latest message that this node received from the member itself
 	// was sent, by Instant.Expiry. It is valid only if Known is set.
-	Heard time.Duration
-	Known bool
+	LastSeen time.Duration
+	Seen     bool
 }
 
 func (m *member) export() Member {
-	return Member{Announcement: m.latest.Announcement, State: m.latest.State, Heard: m.lastSeen, Known: m.seen}
+	return Member{Announcement: m.latest.Announcement, State: m.latest.State, LastSeen: m.lastSeen, Seen: m.seen}
 }
 
 // Size returns the number of members that are alive or suspected, including this
@@ -80,14 +80,14 @@
 // they are removed from the roster. A caller that needs a majority of the domain has
 // to count these, because both sides of a network partition declare each other gone.
 func (m *Machine) Roster(domain coltsfootward.FailureDomain) []Member {
-	return slices.DeleteFunc(m.Serving(domain), func(member Member) bool { return member.Announcement.Leaving })
+	return slices.DeleteFunc(m.RosterWithLeaving(domain), func(member Member) bool { return member.Announcement.Leaving })
 }
 
-// Serving returns the members of a failure domain that have not announced that they
+// RosterWithLeaving returns the members of a failure domain that have not announced that they
 // have stopped, in an order that is the same at every node. It includes this node if
 // it belongs to the domain, members that are about to leave, since they still serve
 // for seconds, and gone members, with that state.
-func (m *Machine) Serving(domain coltsfootward.FailureDomain) []Member {
+func (m *Machine) RosterWithLeaving(domain coltsfootward.FailureDomain) []Member {
 	var found []Member
 	for _, entry := range m.roster.domains[domain] {
 		if entry.latest.State != message.MemberLeft {
@@ -97,10 +97,10 @@
 	return found
 }
 
-// First returns the first count alive members of a failure domain, in an order that
+// FirstAlive returns the first count alive members of a failure domain, in an order that
 // is the same at every node. All nodes thus mostly get the same members. Members that
 // are leaving or suspected are skipped.
-func (m *Machine) First(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
+func (m *Machine) FirstAlive(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
 	var found []coltsfootward.Instance
 	for _, entry := range m.roster.domains[domain] {
 		if len(found) == count {
@@ -116,15 +116,15 @@
 // Rank returns this node's index in the result of First for its own domain and
 // count, or -1 if it is not in there.
 func (m *Machine) Rank(count int) int {
-	return slices.IndexFunc(m.First(m.options.Self.Domain, count), func(i coltsfootward.Instance) bool {
+	return slices.IndexFunc(m.FirstAlive(m.options.Self.Domain, count), func(i coltsfootward.Instance) bool {
 		return i.ID == m.options.Self.ID
 	})
 }
 
-// Near returns up to count present members of a failure domain, without this node,
+// Neighbours returns up to count present members of a failure domain, without this node,
 // to which it usually has connections already: random fingers in this node's domain,
 // or its counterpart in another domain.
-func (m *Machine) Near(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
+func (m *Machine) Neighbours(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
 	var lines []*member
 	if domain == m.options.Self.Domain {
 		lines = m.someFingers(count)
@@ -143,10 +143,10 @@
 	return slices.Sorted(maps.Keys(m.roster.domains))
 }
 
-// HeardWithin reports whether a member of the domain sent a message that arrived here
+// SeenWithin reports whether a member of the domain sent a message that arrived here
 // and is not older than d. Ages are measured by Instant.Expiry, which is never behind
 // real time.
-func (m *Machine) HeardWithin(now coltsfootward.Instant, domain coltsfootward.FailureDomain, d time.Duration) bool {
+func (m *Machine) SeenWithin(now coltsfootward.Instant, domain coltsfootward.FailureDomain, d time.Duration) bool {
 	state, ok := m.domainStates[domain]
 	return ok && state.seen && now.Expiry-state.lastSeen <= d
 }
--- a/core/membership/queue.go
+++ b/core/membership/queue.go
@@ -16,7 +16,7 @@
 }
 
 type queuedUpdate struct {
-	update message.News
+	update message.MemberUpdate
 	sent   int
 	// order is the sequence number of the update in the queue. Among updates that were
 	// sent equally often, newer ones go first.
@@ -28,7 +28,7 @@
 }
 
 // add queues an update and replaces any queued update of the same member.
-func (q *queue) add(update message.News) {
+func (q *queue) add(update message.MemberUpdate) {
 	q.order++
 	id := update.Announcement.Instance.ID
 	if item, ok := q.index[id]; ok {
@@ -42,14 +42,14 @@
 
 // next returns the updates that were sent least often, at most maximumUpdates, and
 // counts them as sent once more. Updates that were sent limit times are dropped.
-func (q *queue) next(limit int) []message.News {
+func (q *queue) next(limit int) []message.MemberUpdate {
 	if len(q.items) == 0 {
 		return nil
 	}
 	slices.SortFunc(q.items, func(a, b *queuedUpdate) int {
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.order, a.order))
 	})
-	var updates []message.News
+	var updates []message.MemberUpdate
 	for _, item := range q.items[:min(len(q.items), maximumUpdates)] {
 		updates = append(updates, item.update)
 		item.sent++
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -14,7 +14,7 @@
 
 // member is one entry of the roster.
 type member struct {
-	latest message.News
+	latest message.MemberUpdate
 	// hash orders the members of a domain in the same way at every node.
 	hash uint64
 	// digest represents the entry in comparisons of rosters.
@@ -68,7 +68,7 @@
 func bucketOf(hash uint64) int { return int(hash % bucketCount) }
 
 // put sets the latest update of a member and returns its entry.
-func (r *roster) put(update message.News) *member {
+func (r *roster) put(update message.MemberUpdate) *member {
 	id := update.Announcement.Instance.ID
 	m, ok := r.members[id]
 	if ok {
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -73,7 +73,7 @@
 	if !ok || len(r.Hashes) != bucketCount {
 		return
 	}
-	page := &message.RosterPage{Answer: true}
+	page := &message.RosterPage{WantReply: true}
 	m.syncIncomplete = false
 	maximumBuckets := bucketsPerPage(max(r.Members, len(m.roster.members)))
 	start := m.source.IntN(bucketCount)
@@ -82,12 +82,12 @@
 		if r.Hashes[b] == m.roster.hashes[b] {
 			continue
 		}
-		if len(page.News) >= maximumPageEntries || len(page.Buckets) >= maximumBuckets {
+		if len(page.Updates) >= maximumPageEntries || len(page.Buckets) >= maximumBuckets {
 			m.syncIncomplete = true
 			break
 		}
 		page.Buckets = append(page.Buckets, b)
-		page.News = m.appendBucket(page.News, b)
+		page.Updates = m.appendBucket(page.Updates, b)
 	}
 	m.send(entry, page)
 }
@@ -103,7 +103,7 @@
 // minimumPageBuckets is the least number of buckets in a page, however full they are.
 const minimumPageBuckets = 8
 
-func (m *Machine) appendBucket(updates []message.News, b int) []message.News {
+func (m *Machine) appendBucket(updates []message.MemberUpdate, b int) []message.MemberUpdate {
 	for _, entry := range m.roster.buckets[b] {
 		updates = append(updates, entry.latest)
 	}
@@ -112,20 +112,20 @@
 
 func (m *Machine) handleRosterPage(from coltsfootward.InstanceID, r *message.RosterPage) {
 	newer := 0
-	for _, n := range r.News {
+	for _, n := range r.Updates {
 		entry, ok := m.roster.members[n.Announcement.Instance.ID]
 		if !ok || n.Newer(entry.latest) {
 			newer++
 		}
 	}
-	for _, n := range r.News {
+	for _, n := range r.Updates {
 		m.merge(n, newer <= gossipPageLimit)
 	}
 	entry, ok := m.roster.members[from]
 	if !ok {
 		return
 	}
-	if r.Answer {
+	if r.WantReply {
 		m.replyWithPage(entry, r.Buckets)
 		return
 	}
@@ -139,7 +139,7 @@
 	page := &message.RosterPage{Buckets: buckets}
 	for _, b := range buckets[:min(len(buckets), bucketsPerPage(len(m.roster.members)))] {
 		if b >= 0 && b < bucketCount {
-			page.News = m.appendBucket(page.News, b)
+			page.Updates = m.appendBucket(page.Updates, b)
 		}
 	}
 	m.send(entry, page)
--- a/core/message/claim.go
+++ b/core/message/claim.go
@@ -55,10 +55,10 @@
 // MessageKind implements Message.
 func (*ClaimEnd) MessageKind() Kind { return KindClaimEnd }
 
-// ClaimEndTaken acknowledges the receipt of a ClaimEnd.
-type ClaimEndTaken struct {
+// ClaimEndAcknowledged acknowledges the receipt of a ClaimEnd.
+type ClaimEndAcknowledged struct {
 	ID claim.ID `msgpack:"id"`
 }
 
 // MessageKind implements Message.
-func (*ClaimEndTaken) MessageKind() Kind { return KindClaimEndTaken }
+func (*ClaimEndAcknowledged) MessageKind() Kind { return KindClaimEndAcknowledged }
--- a/core/message/codec.go
+++ b/core/message/codec.go
@@ -144,7 +144,7 @@
 	w.text(c.Path)
 	w.header(c.Header)
 	w.text(string(c.Priority))
-	w.text(string(c.Second))
+	w.text(string(c.SecondaryPriority))
 	w.number(int64(c.ShedRank))
 	w.number(int64(c.Budget))
 	w.flag(c.NoRetries)
@@ -154,7 +154,7 @@
 	w.flag(c.Unrepeatable)
 	w.text(c.IdempotencyKey)
 	w.number(int64(c.Depth))
-	w.flag(c.Repeat)
+	w.flag(c.Retry)
 	w.text(string(c.Route))
 	w.text(c.Host)
 	w.text(string(c.Caller))
@@ -172,7 +172,7 @@
 	c.Path = r.text()
 	c.Header = r.header()
 	c.Priority = coltsfootward.Priority(r.text())
-	c.Second = coltsfootward.Priority(r.text())
+	c.SecondaryPriority = coltsfootward.Priority(r.text())
 	c.ShedRank = uint32(r.number())
 	c.Budget = int(r.number())
 	c.NoRetries = r.flag()
@@ -182,7 +182,7 @@
 	c.Unrepeatable = r.flag()
 	c.IdempotencyKey = r.text()
 	c.Depth = int(r.number())
-	c.Repeat = r.flag()
+	c.Retry = r.flag()
 	c.Route = coltsfootward.RouteName(r.text())
 	c.Host = r.text()
 	c.Caller = coltsfootward.ServiceName(r.text())
@@ -200,8 +200,8 @@
 	w.number(int64(l.ShedLevel))
 	w.fraction(l.Excess)
 	w.fraction(l.Cost)
-	w.fields(len(l.Below))
-	for _, below := range l.Below {
+	w.fields(len(l.Downstream))
+	for _, below := range l.Downstream {
 		w.fields(pressureFields)
 		w.text(string(below.Service))
 		w.fraction(below.Excess)
@@ -221,20 +221,20 @@
 	l.ShedLevel = uint32(r.number())
 	l.Excess = r.fraction()
 	l.Cost = r.fraction()
-	l.Below = nil
+	l.Downstream = nil
 	for range r.length() {
 		r.fields(pressureFields)
 		below := Pressure{Service: coltsfootward.ServiceName(r.text()), Excess: r.fraction(), Cost: r.fraction()}
 		if r.err != nil {
 			return r.err
 		}
-		l.Below = append(l.Below, below)
+		l.Downstream = append(l.Downstream, below)
 	}
 	return r.err
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (a *Answer) EncodeMsgpack(encoder *msgpack.Encoder) error {
+func (a *Response) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	w := writer{encoder: encoder}
 	w.fields(answerFields)
 	w.number(int64(a.Status))
@@ -248,7 +248,7 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (a *Answer) DecodeMsgpack(decoder *msgpack.Decoder) error {
+func (a *Response) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	r := reader{decoder: decoder}
 	r.fields(answerFields)
 	a.Status = int(r.number())
@@ -265,7 +265,7 @@
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (e *End) EncodeMsgpack(encoder *msgpack.Encoder) error {
+func (e *ResponseEnd) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	w := writer{encoder: encoder}
 	w.fields(endFields)
 	w.number(int64(e.Attempts))
@@ -274,7 +274,7 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (e *End) DecodeMsgpack(decoder *msgpack.Decoder) error {
+func (e *ResponseEnd) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	r := reader{decoder: decoder}
 	r.fields(endFields)
 	e.Attempts = int(r.number())
@@ -291,7 +291,7 @@
 	w.text(string(d.Domain))
 	w.number(int64(d.Slot))
 	w.number(d.Need)
-	w.number(d.Ahead)
+	w.number(d.Prefetch)
 	w.instance(d.From)
 	return w.err
 }
@@ -305,7 +305,7 @@
 	d.Domain = coltsfootward.FailureDomain(r.text())
 	d.Slot = int(r.number())
 	d.Need = r.number()
-	d.Ahead = r.number()
+	d.Prefetch = r.number()
 	d.From = r.instance()
 	return r.err
 }
@@ -315,13 +315,13 @@
 	w := writer{encoder: encoder}
 	w.fields(grantFields)
 	w.number(int64(g.ID))
-	w.flag(g.Held)
-	w.instance(g.Ask)
+	w.flag(g.IsHolder)
+	w.instance(g.Holder)
 	w.number(int64(g.Epoch))
 	w.number(g.Tokens)
-	w.duration(g.Life)
-	w.duration(g.EmptyFor)
-	w.number(g.Level)
+	w.duration(g.Lifetime)
+	w.duration(g.RetryAfter)
+	w.number(g.Remaining)
 	return w.err
 }
 
@@ -330,12 +330,12 @@
 	r := reader{decoder: decoder}
 	r.fields(grantFields)
 	g.ID = uint64(r.number())
-	g.Held = r.flag()
-	g.Ask = r.instance()
+	g.IsHolder = r.flag()
+	g.Holder = r.instance()
 	g.Epoch = uint64(r.number())
 	g.Tokens = r.number()
-	g.Life = r.duration()
-	g.EmptyFor = r.duration()
-	g.Level = r.number()
+	g.Lifetime = r.duration()
+	g.RetryAfter = r.duration()
+	g.Remaining = r.number()
 	return r.err
 }
--- a/core/message/codec_test.go
+++ b/core/message/codec_test.go
@@ -69,8 +69,8 @@
 func TestCodecsCarryEveryField(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for _, pair := range [][2]any{
-			{&message.Call{}, &message.Call{}}, {&message.Answer{}, &message.Answer{}},
-			{&message.Load{}, &message.Load{}}, {&message.End{}, &message.End{}},
+			{&message.Call{}, &message.Call{}}, {&message.Response{}, &message.Response{}},
+			{&message.Load{}, &message.Load{}}, {&message.ResponseEnd{}, &message.ResponseEnd{}},
 			{&message.Draw{}, &message.Draw{}}, {&message.Grant{}, &message.Grant{}},
 		} {
 			fill(t, reflect.ValueOf(pair[0]).Elem())
@@ -103,6 +103,6 @@
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
 		_ = msgpack.Unmarshal(data, &message.Call{})
-		_ = msgpack.Unmarshal(data, &message.Answer{})
+		_ = msgpack.Unmarshal(data, &message.Response{})
 	})
 }
--- a/core/message/configuration.go
+++ b/core/message/configuration.go
@@ -86,8 +86,8 @@
 // DomainConfirmation is the reply to a ConfirmationQuery for a domain.
 type DomainConfirmation struct {
 	Domain coltsfootward.FailureDomain `msgpack:"domain"`
-	// Asked is the revision of the query.
-	Asked coltsfootward.Revision `msgpack:"asked"`
+	// Queried is the revision of the query.
+	Queried coltsfootward.Revision `msgpack:"asked"`
 	// Revision is the lowest revision that a member of the domain has confirmed.
 	Revision coltsfootward.Revision `msgpack:"revision"`
 	// Members is the number of members that the reply covers.
@@ -100,9 +100,9 @@
 // MessageKind implements Message.
 func (*DomainConfirmation) MessageKind() Kind { return KindDomainConfirmation }
 
-// ConfigurationWhole is a full configuration in one message, for deployments whose
+// FullConfiguration is a full configuration in one message, for deployments whose
 // configuration is stored and changed as one document.
-type ConfigurationWhole struct {
+type FullConfiguration struct {
 	Revision      coltsfootward.Revision       `msgpack:"revision"`
 	Organisations []coltsfootward.Organisation `msgpack:"organisations"`
 	Keys          []coltsfootward.Key          `msgpack:"keys"`
@@ -115,11 +115,11 @@
 }
 
 // MessageKind implements Message.
-func (*ConfigurationWhole) MessageKind() Kind { return KindConfigurationWhole }
+func (*FullConfiguration) MessageKind() Kind { return KindFullConfiguration }
 
-// NewConfigurationWhole returns the message that carries c and o.
-func NewConfigurationWhole(c coltsfootward.Configuration, o coltsfootward.OutOfService) *ConfigurationWhole {
-	return &ConfigurationWhole{
+// NewFullConfiguration returns the message that carries c and o.
+func NewFullConfiguration(c coltsfootward.Configuration, o coltsfootward.OutOfService) *FullConfiguration {
+	return &FullConfiguration{
 		Revision:      c.Revision(),
 		Organisations: c.Organisations(),
 		Keys:          c.Keys(),
@@ -131,7 +131,7 @@
 }
 
 // Configuration returns the configuration that the message carries.
-func (m *ConfigurationWhole) Configuration() coltsfootward.Configuration {
+func (m *FullConfiguration) Configuration() coltsfootward.Configuration {
 	return coltsfootward.NewConfiguration(m.Revision, m.Organisations, m.Keys, m.Services).
 		WithRoutes(m.Routes).WithLimits(m.Limits)
 }
--- a/core/message/membership.go
+++ b/core/message/membership.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// News is a membership update: the announcement and the state of one member, reported
+// MemberUpdate is a membership update: the announcement and the state of one member, reported
 // by the member itself or by another.
-type News struct {
+type MemberUpdate struct {
 	//lint:ignore U1000 msgpack reads the tag of this field
 	_msgpack     struct{}     `msgpack:",as_array"`
 	Announcement Announcement `msgpack:"announcement"`
@@ -73,7 +73,7 @@
 
 // Newer reports whether n overrides old. An update with a lower incarnation or version
 // never does, in whatever order updates arrive.
-func (n News) Newer(old News) bool {
+func (n MemberUpdate) Newer(old MemberUpdate) bool {
 	a, b := n.Announcement, old.Announcement
 	if a.Instance.Incarnation != b.Instance.Incarnation {
 		return a.Instance.Incarnation > b.Instance.Incarnation
@@ -88,9 +88,9 @@
 // probe, probe request and probe answer, and is also sent on its own while updates
 // are queued.
 type Gossip struct {
-	// News contains membership updates. Their number is bounded, so that a message
+	// Updates contains membership updates. Their number is bounded, so that a message
 	// stays small under any churn.
-	News []News `msgpack:"news"`
+	Updates []MemberUpdate `msgpack:"news"`
 	// Digest summarises the sender's configuration.
 	Digest ConfigurationDigest `msgpack:"digest"`
 }
@@ -102,8 +102,8 @@
 type Probe struct {
 	Sequence uint64 `msgpack:"sequence"`
 	// Self introduces the sender to a member whose roster does not contain it yet.
-	Self   News   `msgpack:"self"`
-	Gossip Gossip `msgpack:"gossip"`
+	Self   MemberUpdate `msgpack:"self"`
+	Gossip Gossip       `msgpack:"gossip"`
 	Stamped
 }
 
@@ -135,7 +135,7 @@
 // comparison ends.
 type RosterDigest struct {
 	// Self introduces the sender to a member whose roster does not contain it yet.
-	Self News `msgpack:"self"`
+	Self MemberUpdate `msgpack:"self"`
 	// Total is the combined hash of all entries of the sender's roster.
 	Total uint64 `msgpack:"total"`
 }
@@ -146,7 +146,7 @@
 // RosterBuckets is the reply to a RosterDigest whose total differs.
 type RosterBuckets struct {
 	// Self introduces the sender to a member whose roster does not contain it yet.
-	Self News `msgpack:"self"`
+	Self MemberUpdate `msgpack:"self"`
 	// Hashes contains the combined hash of each bucket of the sender's roster.
 	Hashes []uint64 `msgpack:"hashes"`
 	// Members is the number of entries in the sender's roster, from which the receiver
@@ -159,10 +159,10 @@
 
 // RosterPage contains the sender's entries of some buckets of its roster.
 type RosterPage struct {
-	Buckets []int  `msgpack:"buckets"`
-	News    []News `msgpack:"news"`
-	// Answer requests a page with the receiver's own entries of these buckets.
-	Answer bool `msgpack:"answer"`
+	Buckets []int          `msgpack:"buckets"`
+	Updates []MemberUpdate `msgpack:"news"`
+	// WantReply requests a page with the receiver's own entries of these buckets.
+	WantReply bool `msgpack:"answer"`
 }
 
 // MessageKind implements Message.
--- a/core/message/message.go
+++ b/core/message/message.go
@@ -28,12 +28,12 @@
 	KindConfirmation         Kind = "confirmation"
 	KindConfirmationQuery    Kind = "confirmation_query"
 	KindDomainConfirmation   Kind = "domain_confirmation"
-	KindConfigurationWhole   Kind = "configuration_whole"
+	KindFullConfiguration    Kind = "configuration_whole"
 	KindClaimRequest         Kind = "claim_request"
 	KindClaimVerdict         Kind = "claim_verdict"
 	KindClaimHandover        Kind = "claim_handover"
 	KindClaimEnd             Kind = "claim_end"
-	KindClaimEndTaken        Kind = "claim_end_taken"
+	KindClaimEndAcknowledged Kind = "claim_end_taken"
 )
 
 // Message is one message between nodes.
@@ -58,9 +58,9 @@
 	KindConfigurationChanges: func() Message { return &ConfigurationChanges{} },
 	KindDraw:                 func() Message { return &Draw{} },
 	KindGrant:                func() Message { return &Grant{} },
-	KindOffer:                func() Message { return &SlotOffer{} },
+	KindSlotOffer:            func() Message { return &SlotOffer{} },
 	KindConfigurationPage:    func() Message { return &ConfigurationPage{} },
-	KindConfigurationWhole:   func() Message { return &ConfigurationWhole{} },
+	KindFullConfiguration:    func() Message { return &FullConfiguration{} },
 	KindConfirmation:         func() Message { return &Confirmation{} },
 	KindConfirmationQuery:    func() Message { return &ConfirmationQuery{} },
 	KindDomainConfirmation:   func() Message { return &DomainConfirmation{} },
@@ -68,7 +68,7 @@
 	KindClaimVerdict:         func() Message { return &ClaimVerdict{} },
 	KindClaimHandover:        func() Message { return &ClaimHandover{} },
 	KindClaimEnd:             func() Message { return &ClaimEnd{} },
-	KindClaimEndTaken:        func() Message { return &ClaimEndTaken{} },
+	KindClaimEndAcknowledged: func() Message { return &ClaimEndAcknowledged{} },
 }
 
 // New returns an empty message of the given kind to decode into, or nil if this
@@ -92,9 +92,9 @@
 	// does not read it.
 	Header   map[string][]string    `msgpack:"header"`
 	Priority coltsfootward.Priority `msgpack:"priority"`
-	// Second is a secondary priority that orders requests with equal Priority. It is
+	// SecondaryPriority is a secondary priority that orders requests with equal Priority. It is
 	// set where the organisation's priority takes precedence over the route's.
-	Second coltsfootward.Priority `msgpack:"second,omitempty"`
+	SecondaryPriority coltsfootward.Priority `msgpack:"second,omitempty"`
 	// ShedRank orders requests for load shedding; a lower rank is more important. It is
 	// the same for all calls of one request's call tree.
 	ShedRank uint32 `msgpack:"shed_rank"`
@@ -119,9 +119,9 @@
 	IdempotencyKey string `msgpack:"idempotency_key"`
 	// Depth is the number of ancestor calls; the call at the entry node has depth zero.
 	Depth int `msgpack:"depth"`
-	// Repeat is set if a backend server may already have received this routed request,
+	// Retry is set if a backend server may already have received this routed request,
 	// or if this is a child call of such a request.
-	Repeat bool `msgpack:"repeat,omitempty"`
+	Retry bool `msgpack:"repeat,omitempty"`
 	// Route is set if the request was routed by host and path. It is the class by which
 	// the cost of the request is estimated.
 	Route coltsfootward.RouteName `msgpack:"route,omitempty"`
@@ -152,9 +152,9 @@
 	// Cost is the slot time in seconds that one request of this class uses at the
 	// upstream; zero if it is not known.
 	Cost float64 `msgpack:"cost,omitempty"`
-	// Below contains the excess and the cost for each downstream service that requests
+	// Downstream contains the excess and the cost for each downstream service that requests
 	// of this class call, directly or indirectly.
-	Below []Pressure `msgpack:"below,omitempty"`
+	Downstream []Pressure `msgpack:"below,omitempty"`
 }
 
 // Pressure is the fraction of the demand for a service that entry nodes should refuse,
@@ -165,17 +165,17 @@
 	Cost    float64                   `msgpack:"cost"`
 }
 
-// Answer is the head of the response to a Call: the backend server's status and
+// Response is the head of the response to a Call: the backend server's status and
 // header, or a refusal.
-type Answer struct {
+type Response struct {
 	Status  int                    `msgpack:"status"`
 	Header  map[string][]string    `msgpack:"header"`
 	Refusal *coltsfootward.Refusal `msgpack:"refusal"`
 	Load    Load                   `msgpack:"load"`
 }
 
-// End terminates an answer after its body. An answer without an End is truncated.
-type End struct {
+// ResponseEnd terminates an answer after its body. An answer without an ResponseEnd is truncated.
+type ResponseEnd struct {
 	// Attempts is the number of attempts that this call and its child calls used.
 	Attempts int `msgpack:"attempts"`
 	// Needed is the number of attempts that they would have used without failures.
--- a/core/message/rate.go
+++ b/core/message/rate.go
@@ -8,9 +8,9 @@
 
 // The kinds of message for drawing tokens of an organisation's rate.
 const (
-	KindDraw  Kind = "draw"
-	KindGrant Kind = "grant"
-	KindOffer Kind = "slot_offer"
+	KindDraw      Kind = "draw"
+	KindGrant     Kind = "grant"
+	KindSlotOffer Kind = "slot_offer"
 )
 
 // SlotOffer notifies a node that a slot of its failure domain was released for it to
@@ -21,7 +21,7 @@
 }
 
 // MessageKind implements Message.
-func (*SlotOffer) MessageKind() Kind { return KindOffer }
+func (*SlotOffer) MessageKind() Kind { return KindSlotOffer }
 
 // Draw requests tokens of an organisation's rate from the holder of a slot.
 type Draw struct {
@@ -32,8 +32,8 @@
 	Slot         int                            `msgpack:"slot"`
 	// Need is the number of requests that wait for a token, Ahead the number of further
 	// requests that are expected.
-	Need  int64 `msgpack:"need"`
-	Ahead int64 `msgpack:"ahead"`
+	Need     int64 `msgpack:"need"`
+	Prefetch int64 `msgpack:"ahead"`
 	// From is the instance to which the grant is sent.
 	From coltsfootward.Instance `msgpack:"from"`
 }
@@ -44,21 +44,21 @@
 // Grant is the reply to a Draw.
 type Grant struct {
 	ID uint64 `msgpack:"id"`
-	// Held is set if the sender holds the slot. Otherwise no tokens are granted.
-	Held bool `msgpack:"held"`
-	// Ask is the holder that a sender which is not the holder refers to. Its ID is
+	// IsHolder is set if the sender holds the slot. Otherwise no tokens are granted.
+	IsHolder bool `msgpack:"held"`
+	// Holder is the holder that a sender which is not the holder refers to. Its ID is
 	// empty if the sender does not know the holder.
-	Ask   coltsfootward.Instance `msgpack:"ask"`
-	Epoch uint64                 `msgpack:"epoch"`
+	Holder coltsfootward.Instance `msgpack:"ask"`
+	Epoch  uint64                 `msgpack:"epoch"`
 	// Tokens is the number of tokens granted.
 	Tokens int64 `msgpack:"tokens"`
-	// Life is the lifetime of the tokens, measured from before the draw was sent.
-	Life time.Duration `msgpack:"life"`
-	// EmptyFor is the delay after which to draw again if fewer tokens than needed were
+	// Lifetime is the lifetime of the tokens, measured from before the draw was sent.
+	Lifetime time.Duration `msgpack:"life"`
+	// RetryAfter is the delay after which to draw again if fewer tokens than needed were
 	// granted.
-	EmptyFor time.Duration `msgpack:"empty_for"`
-	// Level is the number of tokens that remain at the holder.
-	Level int64 `msgpack:"level"`
+	RetryAfter time.Duration `msgpack:"empty_for"`
+	// Remaining is the number of tokens that remain at the holder.
+	Remaining int64 `msgpack:"level"`
 }
 
 // MessageKind implements Message.
--- a/core/node/action.go
+++ b/core/node/action.go
@@ -56,12 +56,12 @@
 	Answer claim.Answer
 }
 
-// EndAnswer ends a peer's call whose response is complete: either all of it but
+// EndResponse ends a peer's call whose response is complete: either all of it but
 // the end marker has been passed on, or it is ready to be sent together with
 // the end marker. Attempts is computed in the same step that invalidates the
 // call's token. Child calls that the backend server makes later are refused, so
 // none can escape the count.
-type EndAnswer struct {
+type EndResponse struct {
 	Call CallID
 	// Load is sent to the peer with a response that has not been passed on yet.
 	Load message.Load
@@ -124,7 +124,7 @@
 func (Forward) isAction()              {}
 func (Dispatch) isAction()             {}
 func (Replay) isAction()               {}
-func (EndAnswer) isAction()            {}
+func (EndResponse) isAction()          {}
 func (CancelAttempt) isAction()        {}
 func (CancelDispatch) isAction()       {}
 func (Send) isAction()                 {}
--- a/core/node/assigned_slots.go
+++ b/core/node/assigned_slots.go
@@ -182,7 +182,7 @@
 // failed.
 func (s *assignedSlots) runningMembers(domain coltsfootward.FailureDomain) []coltsfootward.Instance {
 	var members []coltsfootward.Instance
-	for _, member := range s.node.membership.machine.Serving(domain) {
+	for _, member := range s.node.membership.machine.RosterWithLeaving(domain) {
 		if member.State != message.MemberGone {
 			members = append(members, member.Announcement.Instance)
 		}
--- a/core/node/benchmark_test.go
+++ b/core/node/benchmark_test.go
@@ -12,7 +12,7 @@
 // that is both entry node and upstream: arrival, placement, admission,
 // dispatch, response.
 func BenchmarkCallThroughNode(b *testing.B) {
-	s := newSingle(&testing.T{})
+	s := newTestNode(&testing.T{})
 	s.configure(coltsfootward.Rate{PerSecond: 1e9, Burst: 1e9})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 10})
 	call := node.CallID(0)
@@ -23,7 +23,7 @@
 		s.handle(node.PeerCallArrived{Call: call + 1, Head: head})
 		s.handle(node.DispatchEnded{Call: call + 1, Kind: node.DispatchAnswered})
 		s.handle(node.AttemptEnded{Call: call, Kind: node.AttemptAnswered, Load: s.node.Load()})
-		s.handle(node.CallDone{Call: call, Attempts: 1, Whole: true})
+		s.handle(node.CallDone{Call: call, Attempts: 1, Complete: true})
 	}
 }
 
--- a/core/node/bucket.go
+++ b/core/node/bucket.go
@@ -22,7 +22,7 @@
 }
 
 // drawReceived answers another node's draw.
-func (p *ratePart) drawReceived(m message.Draw) {
+func (p *rateComponent) drawReceived(m message.Draw) {
 	p.refresh()
 	grant := p.grant(m)
 	p.node.act(Send{To: m.From, Message: &grant})
@@ -31,21 +31,21 @@
 // grant draws from the bucket of a slot that this node holds. The lease is
 // checked in the same step that takes the tokens, so that a node that was
 // paused notices that its lease has expired and grants nothing.
-func (p *ratePart) grant(m message.Draw) message.Grant {
+func (p *rateComponent) grant(m message.Draw) message.Grant {
 	id := slotID{domain: m.Domain, index: m.Slot}
 	term, ok := p.node.slots.term(id)
 	if !ok {
-		return message.Grant{ID: m.ID, Ask: p.node.slots.lastKnownHolder(id)}
+		return message.Grant{ID: m.ID, Holder: p.node.slots.lastKnownHolder(id)}
 	}
-	g := p.bucket(m.Organisation, m.Slot, term).Draw(p.node.now, m.Need, m.Ahead)
+	g := p.bucket(m.Organisation, m.Slot, term).Draw(p.node.now, m.Need, m.Prefetch)
 	return message.Grant{
-		ID: m.ID, Held: true,
-		Tokens: g.Tokens, Life: g.Life, EmptyFor: g.EmptyFor, Level: g.Level,
+		ID: m.ID, IsHolder: true,
+		Tokens: g.Tokens, Lifetime: g.Lifetime, RetryAfter: g.RetryAfter, Remaining: g.Level,
 	}
 }
 
 // bucket returns the bucket of an organisation's part in a held slot.
-func (p *ratePart) bucket(organisation coltsfootward.OrganisationName, index int, term slotTerm) *rate.Bucket {
+func (p *rateComponent) bucket(organisation coltsfootward.OrganisationName, index int, term slotTerm) *rate.Bucket {
 	a, ok := p.accounts[organisation]
 	if !ok {
 		return rate.NewBucket(rate.Part{}, p.node.now.Monotonic)
@@ -58,7 +58,7 @@
 		p.buckets[id] = held
 	}
 	if held.part != part {
-		held.bucket.Reshape(p.node.now, part)
+		held.bucket.SetPart(p.node.now, part)
 		held.part = part
 	}
 	return held.bucket
@@ -71,10 +71,10 @@
 // earlier holder knew it. After a change that moved tokens between parts it
 // starts empty as well, since the share that a part gains may have been granted
 // at another part.
-func (p *ratePart) newBucket(a *account, term slotTerm, part rate.Part) *rate.Bucket {
-	since := max(term.began.Monotonic, a.share.Settled())
+func (p *rateComponent) newBucket(a *account, term slotTerm, part rate.Part) *rate.Bucket {
+	since := max(term.began.Monotonic, a.share.EffectiveAt())
 	unused := term.first || (a.creationSeen && a.firstSeen >= term.began.Monotonic+p.node.options.ConfigurationSpread)
-	if unused && a.share.Settled() == 0 {
+	if unused && a.share.EffectiveAt() == 0 {
 		return rate.NewFullBucket(part, since)
 	}
 	return rate.NewBucket(part, since)
@@ -82,7 +82,7 @@
 
 // unused reports whether this node has granted no tokens for the slot in its
 // current epoch.
-func (p *ratePart) unused(index int) bool {
+func (p *rateComponent) unused(index int) bool {
 	for id := range p.buckets {
 		if id.slot == index {
 			return false
--- a/core/node/claims.go
+++ b/core/node/claims.go
@@ -57,9 +57,9 @@
 	resendAt time.Duration
 }
 
-// claimsPart deduplicates requests by idempotency key over all nodes. Each key
+// claimsComponent deduplicates requests by idempotency key over all nodes. Each key
 // belongs to one slot, and only the holder of that slot's lease grants it.
-type claimsPart struct {
+type claimsComponent struct {
 	node  *Node
 	slots slotDirectory
 	held  map[slotID]*slotClaims
@@ -75,8 +75,8 @@
 	claims *claim.Holder
 }
 
-func newClaimsPart(n *Node) *claimsPart {
-	return &claimsPart{
+func newClaimsComponent(n *Node) *claimsComponent {
+	return &claimsComponent{
 		node:          n,
 		slots:         n.slots,
 		handovers:     make(map[slotID]*incomingHandover),
@@ -88,7 +88,7 @@
 
 // claim requests a claim for the call. The call then continues with
 // entryPart.claimed, or it is refused.
-func (p *claimsPart) claim(call *entryCall) {
+func (p *claimsComponent) claim(call *entryCall) {
 	key := claim.Key{Organisation: call.head.Organisation, Text: call.head.IdempotencyKey}
 	c := &entryClaim{
 		call:    call,
@@ -106,7 +106,7 @@
 }
 
 // sendRequest sends the request to the slot's holder if one is known.
-func (p *claimsPart) sendRequest(c *entryClaim) {
+func (p *claimsComponent) sendRequest(c *entryClaim) {
 	c.resendAt = p.node.now.Expiry + claimResendInterval
 	holder, ok := p.slots.holder(c.slot)
 	if !ok {
@@ -123,7 +123,7 @@
 // claimsOf returns the claims of a slot if this node holds the slot's lease
 // now. It starts without claims in a new epoch, because another node may have
 // granted any key in between.
-func (p *claimsPart) claimsOf(slot slotID) (*slotClaims, bool) {
+func (p *claimsComponent) claimsOf(slot slotID) (*slotClaims, bool) {
 	term, ok := p.slots.term(slot)
 	if !ok {
 		return nil, false
@@ -142,7 +142,7 @@
 	return h, true
 }
 
-func (p *claimsPart) decide(r claim.Request) claim.Verdict {
+func (p *claimsComponent) decide(r claim.Request) claim.Verdict {
 	h, ok := p.claimsOf(p.slotOf(r.Key))
 	if !ok {
 		return claim.Verdict{Decision: claim.Elsewhere, RetryAfter: claimResendInterval}
@@ -151,7 +151,7 @@
 }
 
 // requestReceived answers a peer's claim request.
-func (p *claimsPart) requestReceived(from coltsfootward.InstanceID, m message.ClaimRequest) {
+func (p *claimsComponent) requestReceived(from coltsfootward.InstanceID, m message.ClaimRequest) {
 	peer, ok := p.node.membership.instance(from)
 	if !ok {
 		return
@@ -165,7 +165,7 @@
 
 // verdictReceived processes the holder's decision. age is an upper bound of the
 // time since the verdict was sent.
-func (p *claimsPart) verdictReceived(m message.ClaimVerdict, age time.Duration) {
+func (p *claimsComponent) verdictReceived(m message.ClaimVerdict, age time.Duration) {
 	c, ok := p.pendingClaims[m.ID]
 	if !ok {
 		return
@@ -188,11 +188,11 @@
 	}
 	c.granted = true
 	c.expires = p.node.now.Expiry + m.Verdict.Life - age
-	p.node.entry.claimed(c.call)
+	p.node.entry.claimGranted(c.call)
 }
 
 // refuse ends a call whose claim was not granted.
-func (p *claimsPart) refuse(call *entryCall, v claim.Verdict) {
+func (p *claimsComponent) refuse(call *entryCall, v claim.Verdict) {
 	call.claim = nil
 	p.node.report(record.ClaimRefused, field("request", string(call.head.Request)), field("decision", string(v.Decision)))
 	if v.Decision == claim.AlreadyRun && v.Answer != nil {
@@ -228,7 +228,7 @@
 
 // ended reports the end of the call to the holder. If the request certainly did
 // not run, its key becomes available again.
-func (p *claimsPart) ended(call *entryCall, execution coltsfootward.Execution, answer *claim.Answer) {
+func (p *claimsComponent) ended(call *entryCall, execution coltsfootward.Execution, answer *claim.Answer) {
 	c := call.claim
 	call.claim = nil
 	delete(p.pendingClaims, c.request.ID)
@@ -245,14 +245,14 @@
 	p.sendEnd(e)
 }
 
-func (p *claimsPart) sendEnd(e *pendingEnd) {
+func (p *claimsComponent) sendEnd(e *pendingEnd) {
 	e.sends++
 	e.resendAt = p.node.now.Expiry + claimResendInterval
 	end := e.end
 	p.node.act(Send{To: e.to, Message: &end})
 }
 
-func (p *claimsPart) recordEnd(m message.ClaimEnd) {
+func (p *claimsComponent) recordEnd(m message.ClaimEnd) {
 	if h, ok := p.claimsOf(p.slotOf(m.Key)); ok {
 		h.claims.End(p.node.now, m.Key, m.ID, m.Execution, m.Answer)
 	}
@@ -260,17 +260,19 @@
 
 // endReceived processes and acknowledges the end of a peer's claim. A node that
 // no longer holds the slot does not need the information.
-func (p *claimsPart) endReceived(from coltsfootward.InstanceID, m message.ClaimEnd) {
+func (p *claimsComponent) endReceived(from coltsfootward.InstanceID, m message.ClaimEnd) {
 	p.recordEnd(m)
 	if peer, ok := p.node.membership.instance(from); ok {
-		p.node.act(Send{To: peer, Message: &message.ClaimEndTaken{ID: m.ID}})
+		p.node.act(Send{To: peer, Message: &message.ClaimEndAcknowledged{ID: m.ID}})
 	}
 }
 
-func (p *claimsPart) endAcknowledged(m message.ClaimEndTaken) { delete(p.pendingEnds, m.ID) }
+func (p *claimsComponent) endAcknowledged(m message.ClaimEndAcknowledged) {
+	delete(p.pendingEnds, m.ID)
+}
 
 // messageReceived dispatches a peer's message about claims.
-func (p *claimsPart) messageReceived(e MessageArrived) {
+func (p *claimsComponent) messageReceived(e MessageArrived) {
 	switch m := e.Message.(type) {
 	case *message.ClaimRequest:
 		p.requestReceived(e.From, *m)
@@ -280,13 +282,13 @@
 		p.handoverReceived(*m)
 	case *message.ClaimEnd:
 		p.endReceived(e.From, *m)
-	case *message.ClaimEndTaken:
+	case *message.ClaimEndAcknowledged:
 		p.endAcknowledged(*m)
 	}
 }
 
 // tick sends unanswered messages again and gives up after too many tries.
-func (p *claimsPart) tick() {
+func (p *claimsComponent) tick() {
 	p.sendHandovers()
 	p.checkHandovers()
 	now := p.node.now.Expiry
@@ -314,7 +316,7 @@
 
 // noteUnanswered records that the instance asked last did not answer, so that
 // the next assumed holder of the slot is asked.
-func (p *claimsPart) noteUnanswered(c *entryClaim) {
+func (p *claimsComponent) noteUnanswered(c *entryClaim) {
 	if c.holder.ID != "" && c.holder.ID != p.node.options.Self.ID {
 		p.slots.noteHolder(c.slot, coltsfootward.Instance{})
 	}
@@ -323,9 +325,9 @@
 // refuseUnanswered refuses a call whose claim was not decided in time. The
 // claim may have been granted and the verdict lost, so the holder is informed
 // that the request did not run.
-func (p *claimsPart) refuseUnanswered(c *entryClaim) {
+func (p *claimsComponent) refuseUnanswered(c *entryClaim) {
 	p.node.report(record.ClaimUnanswered, field("request", string(c.call.head.Request)))
 	p.node.entry.finish(c.call, coltsfootward.NewRefusal(coltsfootward.RefusalClaim,
 		"the instance that remembers this Idempotency-Key could not be reached").
-		WithRetryAfter(p.node.spreadRetryAfter()))
+		WithRetryAfter(p.node.jitteredRetryAfter()))
 }
--- a/core/node/cold.go
+++ b/core/node/cold.go
@@ -97,8 +97,8 @@
 
 func (p *coldTracker) coldUntil() time.Duration { return max(p.reportedUntil, p.assumedUntil) }
 
-// left returns how much longer the server is cold.
-func (p *coldTracker) left() time.Duration { return max(p.coldUntil()-p.node.now.Monotonic, 0) }
+// remaining returns how much longer the server is cold.
+func (p *coldTracker) remaining() time.Duration { return max(p.coldUntil()-p.node.now.Monotonic, 0) }
 
 // publish informs other nodes if the end of the cold period has changed by at
 // least coldPublishThreshold.
@@ -110,10 +110,10 @@
 	}
 	p.publishedUntil = p.coldUntil()
 	p.node.membership.coldChanged()
-	if p.left() > 0 {
-		p.node.report(record.BackendCold, field("service", string(p.node.options.Service)), field("left", rounded(p.left())))
+	if p.remaining() > 0 {
+		p.node.report(record.BackendCold, field("service", string(p.node.options.Service)), field("left", rounded(p.remaining())))
 	}
-	p.node.upstream.start()
+	p.node.upstream.dispatchQueued()
 }
 
 // refresh applies the configured rate for cold servers, and limits the queue
@@ -122,7 +122,7 @@
 	service, _ := p.node.configuration.current.Service(p.node.membership.local.Service)
 	p.starts.SetRate(service.ColdRate, p.startedAt)
 	if p.rateLimited() {
-		p.node.upstream.admission.SetCold(true, p.starts.Room(p.node.now.Monotonic))
+		p.node.upstream.admission.SetCold(true, p.starts.QueueLimit(p.node.now.Monotonic))
 		return
 	}
 	p.node.upstream.admission.SetCold(false, 0)
@@ -130,7 +130,7 @@
 
 // rateLimited reports whether the server is cold and its rate of requests
 // therefore limited.
-func (p *coldTracker) rateLimited() bool { return p.starts.Bounds() && p.left() > 0 }
+func (p *coldTracker) rateLimited() bool { return p.starts.Limited() && p.remaining() > 0 }
 
 // mayStart reports whether a request may be dispatched now.
 func (p *coldTracker) mayStart() bool {
@@ -149,13 +149,13 @@
 // counts the refusal.
 func (p *coldTracker) withRetryAfter(r coltsfootward.Refusal) coltsfootward.Refusal {
 	p.refused++
-	return r.WithRetryAfter(p.left() + p.node.spread(coldRetryDelay))
+	return r.WithRetryAfter(p.remaining() + p.node.jitter(coldRetryDelay))
 }
 
 // ColdStatus is the cold state of a node's backend server.
 type ColdStatus struct {
-	// Left is how much longer the server is cold, as far as the node knows.
-	Left time.Duration
+	// Remaining is how much longer the server is cold, as far as the node knows.
+	Remaining time.Duration
 	// Passed counts the requests that the server was sent while cold; Refused
 	// counts those that were refused because it was cold.
 	Passed, Refused int
@@ -164,5 +164,5 @@
 // Cold returns the cold state of the local backend server.
 func (n *Node) Cold() ColdStatus {
 	p := &n.upstream.cold
-	return ColdStatus{Left: p.left(), Passed: p.passed, Refused: p.refused}
+	return ColdStatus{Remaining: p.remaining(), Passed: p.passed, Refused: p.refused}
 }
--- a/core/node/configuration.go
+++ b/core/node/configuration.go
@@ -51,9 +51,9 @@
 	maxDigestWithdrawn = 16
 )
 
-// configurationPart holds the configuration in force at this node. Its revision
+// configurationComponent holds the configuration in force at this node. Its revision
 // never decreases.
-type configurationPart struct {
+type configurationComponent struct {
 	node    *Node
 	current coltsfootward.Configuration
 	// history holds the latest changes, consecutive up to current's revision.
@@ -68,13 +68,13 @@
 	served           servedSnapshot
 }
 
-func newConfigurationPart(n *Node) *configurationPart {
-	p := &configurationPart{node: n, lastPull: n.now.Monotonic - pullInterval}
+func newConfigurationComponent(n *Node) *configurationComponent {
+	p := &configurationComponent{node: n, lastPull: n.now.Monotonic - pullInterval}
 	p.contact.reset(n.now, n.options.KeyGrace)
 	return p
 }
 
-func (p *configurationPart) tick() {
+func (p *configurationComponent) tick() {
 	p.checkContact()
 	if p.scanning || p.node.now.Monotonic < p.nextPoll {
 		return
@@ -89,7 +89,7 @@
 // the failure domain's readers, about one in all running nodes per poll
 // interval reads it while the readers report no successful read, because their
 // connection to the table may be broken.
-func (p *configurationPart) shouldReadTable() bool {
+func (p *configurationComponent) shouldReadTable() bool {
 	m := p.node.membership.machine
 	if m.Rank(tableReaders) >= 0 {
 		return true
@@ -100,7 +100,7 @@
 	return p.node.source.IntN(max(m.Size(), 1)) == 0
 }
 
-func (p *configurationPart) refresh() {
+func (p *configurationComponent) refresh() {
 	p.scanning = true
 	p.refreshRequested = false
 	began := p.node.now.Expiry
@@ -139,7 +139,7 @@
 // apply puts consecutive changes in force. Changes after a gap wait for the
 // missing ones, since a skipped change would be lost for good. Keys that they
 // withdraw are rejected immediately nevertheless.
-func (p *configurationPart) apply(changes []coltsfootward.Change) {
+func (p *configurationComponent) apply(changes []coltsfootward.Change) {
 	next := p.current.Revision()
 	var applied []coltsfootward.Change
 	for _, change := range changes {
@@ -163,7 +163,7 @@
 	p.push(applied)
 }
 
-func (p *configurationPart) configurationChanged(applied []coltsfootward.Change) {
+func (p *configurationComponent) configurationChanged(applied []coltsfootward.Change) {
 	p.node.rate.applyChanges(applied)
 	for _, change := range applied {
 		if change.Key != nil && change.Key.Withdrawn {
@@ -177,7 +177,7 @@
 
 // push sends changes to a few members. One of them is in another failure
 // domain, whose readers may be unable to reach the table.
-func (p *configurationPart) push(changes []coltsfootward.Change) {
+func (p *configurationComponent) push(changes []coltsfootward.Change) {
 	if len(changes) > maxPushedChanges {
 		return
 	}
@@ -186,19 +186,19 @@
 	}
 }
 
-func (p *configurationPart) pushTargets() []coltsfootward.Instance {
+func (p *configurationComponent) pushTargets() []coltsfootward.Instance {
 	m := p.node.membership.machine
-	targets := m.Near(p.node.options.Self.Domain, pushFanout)
+	targets := m.Neighbours(p.node.options.Self.Domain, pushFanout)
 	domains := m.Domains()
 	remote := domains[p.node.source.IntN(len(domains))]
 	if remote != p.node.options.Self.Domain {
-		targets = append(targets, m.Near(remote, 1)...)
+		targets = append(targets, m.Neighbours(remote, 1)...)
 	}
 	return targets
 }
 
 // ownDigest returns the digest that this node sends with its gossip.
-func (p *configurationPart) ownDigest() message.ConfigurationDigest {
+func (p *configurationComponent) ownDigest() message.ConfigurationDigest {
 	return message.ConfigurationDigest{
 		Revision:  p.current.Revision(),
 		Withdrawn: p.withdrawn.list(maxDigestWithdrawn),
@@ -209,7 +209,7 @@
 }
 
 // digestReceived processes a peer's digest.
-func (p *configurationPart) digestReceived(e MessageArrived, m message.ConfigurationDigest) {
+func (p *configurationComponent) digestReceived(e MessageArrived, m message.ConfigurationDigest) {
 	p.contact.noteTableRead(p.node.now.Expiry - e.Age - max(m.TableAge, 0))
 	p.node.domains.adopt(m.OutOfService)
 	for _, digest := range m.Withdrawn {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (p *configurationPart) pullFrom(peer coltsfootward.InstanceID) {
+func (p *configurationComponent) pullFrom(peer coltsfootward.InstanceID) {
 	now := p.node.now.Monotonic
 	if now-p.lastPull < pullInterval {
 		return
@@ -229,18 +229,18 @@
 	p.send(peer, &message.ConfigurationPull{After: p.current.Revision()})
 }
 
-func (p *configurationPart) send(to coltsfootward.InstanceID, m message.Message) {
+func (p *configurationComponent) send(to coltsfootward.InstanceID, m message.Message) {
 	if instance, ok := p.node.membership.instance(to); ok {
 		p.node.act(Send{To: instance, Message: m})
 	}
 }
 
-func (p *configurationPart) pullReceived(from coltsfootward.InstanceID, m message.ConfigurationPull) {
+func (p *configurationComponent) pullReceived(from coltsfootward.InstanceID, m message.ConfigurationPull) {
 	if m.After >= p.current.Revision() {
 		return
 	}
 	if p.node.options.Routed {
-		p.send(from, message.NewConfigurationWhole(p.current, p.node.domains.current))
+		p.send(from, message.NewFullConfiguration(p.current, p.node.domains.current))
 		return
 	}
 	oldest := p.current.Revision() - coltsfootward.Revision(len(p.history))
@@ -252,7 +252,7 @@
 	p.send(from, &message.ConfigurationChanges{Changes: boundedChanges(newer)})
 }
 
-func (p *configurationPart) changesReceived(from coltsfootward.InstanceID, m message.ConfigurationChanges) {
+func (p *configurationComponent) changesReceived(from coltsfootward.InstanceID, m message.ConfigurationChanges) {
 	before := p.current.Revision()
 	p.apply(m.Changes)
 	if len(m.Changes) == 0 {
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -515,7 +515,7 @@
 // A page of an old snapshot arrives late, after newer changes. If the node
 // installed it, it would undo those changes.
 func TestLatePageOfOldSnapshotIsIgnored(t *testing.T) {
-	s := newSingle(t)
+	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 1, Burst: 1})
 	s.handle(node.MessageArrived{From: "north-2", Message: &message.ConfigurationPage{Revision: 2, Pages: 1}})
 	if got := s.node.Configuration().Revision(); got != 3 {
--- a/core/node/confirmation.go
+++ b/core/node/confirmation.go
@@ -42,7 +42,7 @@
 	maxReminders = 64
 )
 
-// confirmationPart determines where a revision is in force. Each failure domain
+// confirmationComponent determines where a revision is in force. Each failure domain
 // has a collector: the first member in an order that all nodes share. Members
 // send their confirmations to the collector, and the node that serves an
 // operator's request queries the collectors.
@@ -51,7 +51,7 @@
 // domain and would answer for those alone. Answers therefore contain the number
 // of members they cover, and an answer that covers fewer members than the
 // querying node knows is ignored.
-type confirmationPart struct {
+type confirmationComponent struct {
 	node *Node
 	// confirmed holds the highest revision that each member of the own failure
 	// domain has confirmed.
@@ -75,8 +75,8 @@
 	answers    map[coltsfootward.FailureDomain]message.DomainConfirmation
 }
 
-func newConfirmationPart(n *Node) *confirmationPart {
-	return &confirmationPart{
+func newConfirmationComponent(n *Node) *confirmationComponent {
+	return &confirmationComponent{
 		node:         n,
 		confirmed:    make(map[coltsfootward.InstanceID]coltsfootward.Revision),
 		pendingRelay: make(map[coltsfootward.Revision][]coltsfootward.InstanceID),
@@ -87,18 +87,18 @@
 
 // forgetMember drops the confirmation of an earlier run of an instance, because
 // a restarted instance begins without a configuration.
-func (p *confirmationPart) forgetMember(id coltsfootward.InstanceID) {
+func (p *confirmationComponent) forgetMember(id coltsfootward.InstanceID) {
 	delete(p.confirmed, id)
 }
 
 // scheduleConfirmation schedules the confirmation of a new revision.
-func (p *confirmationPart) scheduleConfirmation() {
+func (p *confirmationComponent) scheduleConfirmation() {
 	if p.confirmAt == 0 {
 		p.confirmAt = p.node.now.Monotonic + time.Duration(p.node.source.Int64N(int64(maxConfirmDelay)))
 	}
 }
 
-func (p *confirmationPart) tick() {
+func (p *confirmationComponent) tick() {
 	now := p.node.now.Monotonic
 	if p.confirmAt != 0 && now >= p.confirmAt {
 		p.confirmAt = 0
@@ -113,7 +113,7 @@
 	}
 }
 
-func (p *confirmationPart) confirm() {
+func (p *confirmationComponent) confirm() {
 	to, ok := p.confirmTo()
 	if ok && to.ID != p.node.options.Self.ID {
 		p.node.act(Send{To: to, Message: &message.Confirmation{Revision: p.node.configuration.current.Revision()}})
@@ -122,9 +122,9 @@
 
 // confirmTo returns the instance to send confirmations to: the collector, or
 // this node's relay in a large failure domain.
-func (p *confirmationPart) confirmTo() (coltsfootward.Instance, bool) {
+func (p *confirmationComponent) confirmTo() (coltsfootward.Instance, bool) {
 	self := p.node.options.Self
-	first := p.node.membership.machine.First(self.Domain, directLimit)
+	first := p.node.membership.machine.FirstAlive(self.Domain, directLimit)
 	if len(first) == 0 {
 		return coltsfootward.Instance{}, false
 	}
@@ -135,7 +135,7 @@
 }
 
 // confirmationReceived records confirmations. A relay forwards them once.
-func (p *confirmationPart) confirmationReceived(from coltsfootward.InstanceID, m message.Confirmation) {
+func (p *confirmationComponent) confirmationReceived(from coltsfootward.InstanceID, m message.Confirmation) {
 	members := m.Members
 	if len(members) == 0 {
 		members = []coltsfootward.InstanceID{from}
@@ -152,7 +152,7 @@
 	p.pendingRelay[m.Revision] = append(p.pendingRelay[m.Revision], from)
 }
 
-func (p *confirmationPart) relay() {
+func (p *confirmationComponent) relay() {
 	to := p.collector(p.node.options.Self.Domain, 0)
 	for _, revision := range slices.Sorted(maps.Keys(p.pendingRelay)) {
 		if to.ID != "" {
@@ -165,8 +165,8 @@
 // collector returns the failure domain's member at the given position in the
 // common order; position 0 is the collector. The instance is empty if there is
 // no such member.
-func (p *confirmationPart) collector(domain coltsfootward.FailureDomain, position int) coltsfootward.Instance {
-	first := p.node.membership.machine.First(domain, position+1)
+func (p *confirmationComponent) collector(domain coltsfootward.FailureDomain, position int) coltsfootward.Instance {
+	first := p.node.membership.machine.FirstAlive(domain, position+1)
 	if len(first) <= position {
 		return coltsfootward.Instance{}
 	}
@@ -175,7 +175,7 @@
 
 // queryReceived answers a query for the whole failure domain or for this node
 // alone.
-func (p *confirmationPart) queryReceived(from coltsfootward.InstanceID, m message.ConfirmationQuery) {
+func (p *confirmationComponent) queryReceived(from coltsfootward.InstanceID, m message.ConfirmationQuery) {
 	if m.Domain == "" {
 		p.node.configuration.send(from, &message.Confirmation{Revision: p.node.configuration.current.Revision()})
 		return
@@ -191,9 +191,9 @@
 // confirmations from outdated members. Members that are gone do not count: they
 // serve no requests, and when they return they adopt the highest revision that
 // their peers hold.
-func (p *confirmationPart) collect(asked coltsfootward.Revision) message.DomainConfirmation {
+func (p *confirmationComponent) collect(asked coltsfootward.Revision) message.DomainConfirmation {
 	self := p.node.options.Self
-	answer := message.DomainConfirmation{Domain: self.Domain, Asked: asked, Revision: p.node.configuration.current.Revision()}
+	answer := message.DomainConfirmation{Domain: self.Domain, Queried: asked, Revision: p.node.configuration.current.Revision()}
 	reminded := 0
 	for _, member := range p.node.membership.roster(self.Domain) {
 		id := member.Announcement.Instance.ID
@@ -222,7 +222,7 @@
 
 // sendQueries queries the collector of each failure domain that has not
 // confirmed the watched revision yet.
-func (p *confirmationPart) sendQueries() {
+func (p *confirmationComponent) sendQueries() {
 	for _, domain := range p.domains() {
 		if p.answers[domain].Revision >= p.watchedRevision {
 			continue
@@ -247,19 +247,19 @@
 // with members, and those with contacts in the table as last read by this node,
 // because a domain may have been unreachable since before this node started.
 // Domains whose members have all left or failed are excluded.
-func (p *confirmationPart) domains() []coltsfootward.FailureDomain {
+func (p *confirmationComponent) domains() []coltsfootward.FailureDomain {
 	m := p.node.membership
 	all := slices.Concat(m.machine.Domains(), m.contactDomains)
 	slices.Sort(all)
 	return slices.DeleteFunc(slices.Compact(all), func(domain coltsfootward.FailureDomain) bool {
 		known := slices.Contains(m.machine.Domains(), domain)
-		return known && len(m.machine.First(domain, 1)) == 0
+		return known && len(m.machine.FirstAlive(domain, 1)) == 0
 	})
 }
 
 // answerReceived stores a failure domain's answer unless an earlier one is
 // higher: a domain's revision never decreases.
-func (p *confirmationPart) answerReceived(m message.DomainConfirmation) {
+func (p *confirmationComponent) answerReceived(m message.DomainConfirmation) {
 	if m.Members < p.runningCount(m.Domain) {
 		return
 	}
@@ -271,7 +271,7 @@
 	p.answers[m.Domain] = m
 }
 
-func (p *confirmationPart) runningCount(domain coltsfootward.FailureDomain) int {
+func (p *confirmationComponent) runningCount(domain coltsfootward.FailureDomain) int {
 	count := 0
 	for _, member := range p.node.membership.roster(domain) {
 		if member.State != message.MemberGone {
@@ -317,12 +317,12 @@
 
 // behind lists instances that a failure domain waits for. For a domain that has
 // not answered these are its first members.
-func (p *confirmationPart) behind(domain coltsfootward.FailureDomain, answer message.DomainConfirmation) []coltsfootward.InstanceID {
+func (p *confirmationComponent) behind(domain coltsfootward.FailureDomain, answer message.DomainConfirmation) []coltsfootward.InstanceID {
 	if len(answer.Behind) > 0 {
 		return answer.Behind
 	}
 	var named []coltsfootward.InstanceID
-	for _, instance := range p.node.membership.machine.First(domain, maxNamedMembers) {
+	for _, instance := range p.node.membership.machine.FirstAlive(domain, maxNamedMembers) {
 		named = append(named, instance.ID)
 	}
 	return named
--- a/core/node/document.go
+++ b/core/node/document.go
@@ -8,23 +8,23 @@
 	"coltsfootward/core/record"
 )
 
-// DocumentDuty is what a node must currently do about the configuration
+// DocumentTask is what a node must currently do about the configuration
 // document that operators store on the platform.
-type DocumentDuty string
+type DocumentTask string
 
 // The values of DocumentDuty.
 const (
 	// DocumentNone means that the node does not read the document; its peers
 	// send it each new version.
-	DocumentNone DocumentDuty = "none"
+	DocumentNone DocumentTask = "none"
 	// DocumentAwaited means that the node has no document yet and expects it
 	// from its peers.
-	DocumentAwaited DocumentDuty = "awaited"
+	DocumentAwaited DocumentTask = "awaited"
 	// DocumentRead means that the node must read the document once, because no
 	// peer has sent it.
-	DocumentRead DocumentDuty = "read"
+	DocumentRead DocumentTask = "read"
 	// DocumentFollow means that the node must watch the document for changes.
-	DocumentFollow DocumentDuty = "follow"
+	DocumentFollow DocumentTask = "follow"
 )
 
 const (
@@ -45,7 +45,7 @@
 // adopt puts a full configuration in force if it is newer than the current one,
 // and sends it to other nodes. An older one, from a late read or from an
 // outdated peer, is ignored: the revision never decreases during a run.
-func (p *configurationPart) adopt(c coltsfootward.Configuration) {
+func (p *configurationComponent) adopt(c coltsfootward.Configuration) {
 	if c.Revision() <= p.current.Revision() {
 		return
 	}
@@ -55,26 +55,26 @@
 	p.node.entry.forgetRoutes(c)
 	p.node.act(ConfigurationInForce{Configuration: c})
 	for _, to := range p.pushTargets() {
-		p.node.act(Send{To: to, Message: message.NewConfigurationWhole(c, p.node.domains.current)})
+		p.node.act(Send{To: to, Message: message.NewFullConfiguration(c, p.node.domains.current)})
 	}
 }
 
 // requestDocument requests the document from a peer that sent a message, as
 // long as this node has none. A starting node obtains it from a peer sooner
 // than from the platform.
-func (p *configurationPart) requestDocument(peer coltsfootward.InstanceID) {
+func (p *configurationComponent) requestDocument(peer coltsfootward.InstanceID) {
 	if p.node.options.Routed && p.current.Revision() == 0 {
 		p.pullFrom(peer)
 	}
 }
 
-// DocumentDuty returns what this node must currently do about the document.
+// DocumentTask returns what this node must currently do about the document.
 //
 // Each call to the platform costs money, and a starting deployment makes as
 // many as it has nodes. A node that can obtain the document from its peers
 // therefore does not call the platform, and the document is not requested from
 // a platform that does not even return the contacts.
-func (n *Node) DocumentDuty() DocumentDuty {
+func (n *Node) DocumentTask() DocumentTask {
 	m := n.membership
 	waited := n.now.Monotonic - m.started
 	reader := m.machine.Rank(documentReaders) >= 0
--- a/core/node/domains.go
+++ b/core/node/domains.go
@@ -8,16 +8,16 @@
 	"coltsfootward/core/record"
 )
 
-// domainsPart holds the failure domains that are out of service. Its version
+// domainsComponent holds the failure domains that are out of service. Its version
 // never decreases during a run.
-type domainsPart struct {
+type domainsComponent struct {
 	node    *Node
 	current coltsfootward.OutOfService
 }
 
 // adopt puts a newer state in force and sends it to a few members. Nodes that
 // miss it receive it with the next gossip, which contains the full state.
-func (p *domainsPart) adopt(o coltsfootward.OutOfService) {
+func (p *domainsComponent) adopt(o coltsfootward.OutOfService) {
 	if o.Version <= p.current.Version {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // report reports each failure domain that has been taken out of service or
 // restored.
-func (p *domainsPart) report(before coltsfootward.OutOfService) {
+func (p *domainsComponent) report(before coltsfootward.OutOfService) {
 	version := field("version", strconv.FormatUint(p.current.Version, 10))
 	for _, domain := range p.current.Domains {
 		if !before.Has(domain) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// ownOut reports whether this node's own failure domain is out of service.
-func (p *domainsPart) ownOut() bool { return p.current.Has(p.node.options.Self.Domain) }
+// ownDomainOut reports whether this node's own failure domain is out of service.
+func (p *domainsComponent) ownDomainOut() bool { return p.current.Has(p.node.options.Self.Domain) }
 
 // OutOfService returns the failure domains that are out of service as known to
 // this node.
--- a/core/node/draw.go
+++ b/core/node/draw.go
@@ -39,14 +39,14 @@
 	lateGrantWindow = 2 * time.Second
 )
 
-// partView is what this entry node knows about one part.
-type partView struct {
-	// asked is set once the part's holder has answered a draw.
-	asked bool
+// partState is what this entry node knows about one part.
+type partState struct {
+	// answered is set once the part's holder has answered a draw.
+	answered bool
 	// level is the number of tokens that the holder last reported as left, and
 	// told the time of that report, by Instant.Monotonic.
-	level int64
-	told  time.Duration
+	level     int64
+	levelTime time.Duration
 	// blockedUntil is the earliest time of the next draw from the part, by
 	// Instant.Monotonic.
 	blockedUntil time.Duration
@@ -76,7 +76,7 @@
 
 // drawForWaiters draws tokens until every waiter has one, a draw is pending or
 // no part has a token left.
-func (p *ratePart) drawForWaiters(a *account) {
+func (p *rateComponent) drawForWaiters(a *account) {
 	for a.activeDraw == nil {
 		p.serveWaiters(a)
 		if len(a.waiters) == 0 {
@@ -93,7 +93,7 @@
 
 // prefetch draws tokens in advance, so that the requests of a busy organisation
 // do not each wait for a round trip.
-func (p *ratePart) prefetch(a *account) {
+func (p *rateComponent) prefetch(a *account) {
 	now := p.node.now
 	missing := p.prefetchCount(a)
 	if a.activeDraw != nil || missing == 0 || now.Monotonic < a.nextPrefetch {
@@ -109,7 +109,7 @@
 // prefetchCount returns how many tokens to prefetch. Nothing is prefetched if
 // the expected demand is below one token, because that token would mostly
 // expire unspent.
-func (p *ratePart) prefetchCount(a *account) int64 {
+func (p *rateComponent) prefetchCount(a *account) int64 {
 	target := int64(a.demand.PerSecond(p.node.now) * a.tokenLifetime.Seconds() / prefetchDivisor)
 	available := a.purse.Tokens(p.node.now)
 	if available > target/2 {
@@ -121,7 +121,7 @@
 // choosePart returns the part to draw from next: one in this node's failure
 // domain if it may have tokens, otherwise the part with the highest reported
 // level.
-func (p *ratePart) choosePart(a *account) (rate.Part, bool) {
+func (p *rateComponent) choosePart(a *account) (rate.Part, bool) {
 	best := -1
 	var bestScore int64
 	for i, part := range a.share.Current() {
@@ -130,11 +130,11 @@
 			continue
 		}
 		score := view.level
-		if !view.asked {
+		if !view.answered {
 			score = part.Burst
 		}
 		if part.Domain == p.node.options.Self.Domain {
-			score += a.whole.Burst + 1
+			score += a.limit.Burst + 1
 		}
 		if best < 0 || score > bestScore {
 			best, bestScore = i, score
@@ -148,15 +148,15 @@
 
 // draw draws tokens from the holder of a slot. It returns the pending draw, or
 // nil if the outcome is known already.
-func (p *ratePart) draw(a *account, id slotID, need, ahead int64, redirects int) *pendingDraw {
+func (p *rateComponent) draw(a *account, id slotID, need, ahead int64, redirects int) *pendingDraw {
 	holder, ok := p.node.slots.holder(id)
 	if !ok {
 		p.backOffUnheld(a, id)
 		return nil
 	}
 	if holder.ID == p.node.options.Self.ID {
-		grant := p.grant(message.Draw{Organisation: a.name, Domain: id.domain, Slot: id.index, Need: need, Ahead: ahead})
-		if !grant.Held {
+		grant := p.grant(message.Draw{Organisation: a.name, Domain: id.domain, Slot: id.index, Need: need, Prefetch: ahead})
+		if !grant.IsHolder {
 			p.backOffUnheld(a, id)
 			return nil
 		}
@@ -171,13 +171,13 @@
 	p.pendingDraws[p.lastDrawID] = d
 	p.node.act(Send{To: holder, Message: &message.Draw{
 		ID: p.lastDrawID, Organisation: a.name, Domain: id.domain, Slot: id.index,
-		Need: need, Ahead: ahead, From: p.node.options.Self,
+		Need: need, Prefetch: ahead, From: p.node.options.Self,
 	}})
 	return d
 }
 
 // grantReceived processes another node's answer to a draw.
-func (p *ratePart) grantReceived(m message.Grant) {
+func (p *rateComponent) grantReceived(m message.Grant) {
 	d, ok := p.pendingDraws[m.ID]
 	if !ok {
 		return
@@ -189,11 +189,11 @@
 		a.activeDraw = nil
 	}
 	switch {
-	case m.Held:
+	case m.IsHolder:
 		p.node.slots.noteHolder(d.slot, d.target)
 		p.acceptGrant(a, d.slot, m, d.sent)
-	case current && m.Ask.ID != "" && m.Ask.ID != d.target.ID && d.redirects < slotWatchers:
-		p.node.slots.noteHolder(d.slot, m.Ask)
+	case current && m.Holder.ID != "" && m.Holder.ID != d.target.ID && d.redirects < slotWatchers:
+		p.node.slots.noteHolder(d.slot, m.Holder)
 		a.activeDraw = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
 	case current && d.redirects < slotWatchers:
 		p.node.slots.noteHolder(d.slot, coltsfootward.Instance{})
@@ -208,8 +208,8 @@
 // acceptGrant adds granted tokens to the organisation's tokens. Their lifetime
 // starts when the draw was sent. If it started with the answer, a slow answer
 // would extend it beyond what the holder's bucket accounts for.
-func (p *ratePart) acceptGrant(a *account, id slotID, m message.Grant, sent time.Duration) {
-	chunk := rate.Chunk{Tokens: m.Tokens, Expires: sent + m.Life}
+func (p *rateComponent) acceptGrant(a *account, id slotID, m message.Grant, sent time.Duration) {
+	chunk := rate.Batch{Tokens: m.Tokens, Expires: sent + m.Lifetime}
 	if m.Tokens > 0 && chunk.Expires <= p.node.now.Expiry+minRemainingLifetime {
 		// The round trip to the holder takes longer than a token's lifetime.
 		// Further draws would only empty its bucket with no use for the tokens.
@@ -224,10 +224,10 @@
 		return
 	}
 	now := p.node.now.Monotonic
-	*view = partView{asked: true, level: m.Level, told: now}
-	if m.EmptyFor > 0 {
-		view.emptyUntil = now + m.EmptyFor
-		view.blockedUntil = now + min(m.EmptyFor, maxEmptyBackoff)
+	*view = partState{answered: true, level: m.Remaining, levelTime: now}
+	if m.RetryAfter > 0 {
+		view.emptyUntil = now + m.RetryAfter
+		view.blockedUntil = now + min(m.RetryAfter, maxEmptyBackoff)
 	}
 }
 
@@ -235,7 +235,7 @@
 // a power failure of all nodes that applies to every part. With the longer
 // backoff of an unanswered draw, all callers would be refused for another
 // second after the holders are known.
-func (p *ratePart) backOffUnheld(a *account, id slotID) {
+func (p *rateComponent) backOffUnheld(a *account, id slotID) {
 	view := p.view(a, id)
 	if view == nil {
 		return
@@ -245,7 +245,7 @@
 }
 
 // backOffUnanswered pauses draws from a part whose holder does not answer.
-func (p *ratePart) backOffUnanswered(a *account, id slotID) {
+func (p *rateComponent) backOffUnanswered(a *account, id slotID) {
 	view := p.view(a, id)
 	if view == nil {
 		return
@@ -256,7 +256,7 @@
 	view.emptyUntil = view.blockedUntil
 }
 
-func (p *ratePart) view(a *account, id slotID) *partView {
+func (p *rateComponent) view(a *account, id slotID) *partState {
 	for i, part := range a.share.Current() {
 		if part.Domain == id.domain && part.Slot == id.index {
 			return &a.parts[i]
@@ -267,7 +267,7 @@
 
 // expireDraws times out unanswered draws and draws from another part for their
 // waiters.
-func (p *ratePart) expireDraws() {
+func (p *rateComponent) expireDraws() {
 	if len(p.pendingDraws) == 0 {
 		return
 	}
--- a/core/node/entry.go
+++ b/core/node/entry.go
@@ -91,9 +91,9 @@
 	hops int
 }
 
-// entryPart receives requests from callers and from the local backend server
+// entryComponent receives requests from callers and from the local backend server
 // and ends each of them with exactly one response or refusal.
-type entryPart struct {
+type entryComponent struct {
 	node  *Node
 	calls map[CallID]*entryCall
 	// splitStates holds the weighted round-robin state of each route with
@@ -103,17 +103,17 @@
 	nextGateReport time.Duration
 }
 
-func newEntryPart(n *Node) *entryPart {
-	return &entryPart{
+func newEntryComponent(n *Node) *entryComponent {
+	return &entryComponent{
 		node:        n,
 		calls:       make(map[CallID]*entryCall),
 		splitStates: make(map[coltsfootward.RouteName]*splitState),
 	}
 }
 
-func (p *entryPart) count() int { return len(p.calls) }
+func (p *entryComponent) count() int { return len(p.calls) }
 
-func (p *entryPart) arrived(e RequestArrived) {
+func (p *entryComponent) arrived(e RequestArrived) {
 	call, refusal := p.open(e)
 	if refusal != nil {
 		p.refuse(e.Call, e.Request, *refusal)
@@ -127,11 +127,11 @@
 		p.node.claims.claim(call)
 		return
 	}
-	p.claimed(call)
+	p.claimGranted(call)
 }
 
 // open authenticates and validates a request and returns the call to serve.
-func (p *entryPart) open(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
+func (p *entryComponent) open(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	if e.Routed {
 		return p.openRouted(e)
 	}
@@ -158,7 +158,7 @@
 // openChild opens a child call: a call that the local backend server makes
 // while it serves another request. Its attempts are taken from the parent's
 // budget.
-func (p *entryPart) openChild(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
+func (p *entryComponent) openChild(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	parent, ok := p.node.ledger.parent(e.Token)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalCallToken, "the call token belongs to no request being served")
@@ -184,7 +184,7 @@
 	return call, nil
 }
 
-func (p *entryPart) newCall(e RequestArrived, organisation coltsfootward.OrganisationName) (*entryCall, *coltsfootward.Refusal) {
+func (p *entryComponent) newCall(e RequestArrived, organisation coltsfootward.OrganisationName) (*entryCall, *coltsfootward.Refusal) {
 	service, ok := p.node.configuration.current.Service(e.Service)
 	if !ok {
 		return nil, refusal(coltsfootward.RefusalUnknownService, fmt.Sprintf("there is no service %q", e.Service))
@@ -218,7 +218,7 @@
 	return call, nil
 }
 
-func (p *entryPart) timeout(requested, service time.Duration) time.Duration {
+func (p *entryComponent) timeout(requested, service time.Duration) time.Duration {
 	timeout := p.node.options.Timeout
 	if service > 0 {
 		timeout = service
@@ -232,7 +232,7 @@
 // shedAtEntry refuses a call that the upstreams would shed, before any work is
 // done for it. Under overload, each hop taken by a request that will be shed
 // anyway is capacity lost to the requests that will be answered.
-func (p *entryPart) shedAtEntry(call *entryCall) bool {
+func (p *entryComponent) shedAtEntry(call *entryCall) bool {
 	if call.routed {
 		return p.refuseAtGate(call)
 	}
@@ -241,13 +241,13 @@
 	}
 	retryAfter := max(p.node.placement.shedDuration(call.head.Service), minRetryAfter)
 	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the service sheds requests of this importance").
-		WithRetryAfter(p.node.spread(min(retryAfter, maxRetryAfter))))
+		WithRetryAfter(p.node.jitter(min(retryAfter, maxRetryAfter))))
 	return true
 }
 
-// claimed continues a call once no other request runs under its idempotency
+// claimGranted continues a call once no other request runs under its idempotency
 // key.
-func (p *entryPart) claimed(call *entryCall) {
+func (p *entryComponent) claimGranted(call *entryCall) {
 	p.startAttempt(call)
 }
 
@@ -260,13 +260,13 @@
 	return coltsfootward.RequestID(fmt.Sprintf("%016x%016x", n.source.Uint64(), n.source.Uint64()))
 }
 
-func (n *Node) spreadRetryAfter() time.Duration {
+func (n *Node) jitteredRetryAfter() time.Duration {
 	return retryAfterJitter/4 + time.Duration(n.source.Int64N(int64(retryAfterJitter)))
 }
 
-// spread applies a jitter of up to a quarter less or more to d, so that callers
+// jitter applies a jitter of up to a quarter less or more to d, so that callers
 // that are refused together do not return together. With a wider jitter some
 // callers would be asked to return after they have given up.
-func (n *Node) spread(d time.Duration) time.Duration {
+func (n *Node) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(n.source.Int64N(int64(max(d/2, 1))))
 }
--- a/core/node/entry_attempt.go
+++ b/core/node/entry_attempt.go
@@ -11,7 +11,7 @@
 
 // startAttempt obtains an admission for the next attempt. Child calls need
 // none: the caller's request at the top of the chain was charged for them.
-func (p *entryPart) startAttempt(call *entryCall) {
+func (p *entryComponent) startAttempt(call *entryCall) {
 	if call.parent != "" || call.rateExempt || call.charged {
 		p.admitted(call, admission{})
 		return
@@ -20,7 +20,7 @@
 }
 
 // admitted sends an attempt that the organisation's rate allows.
-func (p *entryPart) admitted(call *entryCall, granted admission) {
+func (p *entryComponent) admitted(call *entryCall, granted admission) {
 	if !call.charged {
 		call.admission = granted
 	}
@@ -31,7 +31,7 @@
 	}
 	if call.claim != nil && now >= call.claim.expires {
 		p.giveUp(call, coltsfootward.NewRefusal(coltsfootward.RefusalClaim, "the claim on the Idempotency-Key ended before the request started").
-			WithRetryAfter(p.node.spreadRetryAfter()))
+			WithRetryAfter(p.node.jitteredRetryAfter()))
 		return
 	}
 	target, ok := p.chooseTarget(call)
@@ -68,21 +68,21 @@
 // servers that were tried have refused it, their refusal is returned: "no
 // backend server takes work" would send operators looking for servers that are
 // in fact running.
-func (p *entryPart) noTargetRefusal(call *entryCall) coltsfootward.Refusal {
+func (p *entryComponent) noTargetRefusal(call *entryCall) coltsfootward.Refusal {
 	if call.lastRefusal.Kind != "" {
 		return call.lastRefusal
 	}
 	return coltsfootward.NewRefusal(coltsfootward.RefusalNoUpstream, "no backend server of the service takes work").
-		WithRetryAfter(p.node.spreadRetryAfter())
+		WithRetryAfter(p.node.jitteredRetryAfter())
 }
 
 // refuseOverRate ends a call that exceeds the organisation's rate.
-func (p *entryPart) refuseOverRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
+func (p *entryComponent) refuseOverRate(call *entryCall, retryAfter time.Duration, evidence []record.Field) {
 	p.giveUp(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate, "the organisation is above its rate and burst").
 		WithRetryAfter(retryAfter), evidence...)
 }
 
-func (p *entryPart) attemptEnded(e AttemptEnded) {
+func (p *entryComponent) attemptEnded(e AttemptEnded) {
 	call, ok := p.calls[e.Call]
 	if !ok || !call.inFlight {
 		return
@@ -95,7 +95,7 @@
 		return
 	}
 	call.attempts += attemptsUsed(call, e)
-	p.node.ledger.forecast.Missed(call.head.Service)
+	p.node.ledger.forecast.RecordFailure(call.head.Service)
 	p.settleAdmission(call, e)
 	unseen := e.Kind == AttemptUnsent || e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun && e.Attempts == 0
 	refused := refusalOf(e)
@@ -108,7 +108,7 @@
 	call.lastRefusal = refused
 	call.tried[call.target] = true
 	if !unseen {
-		call.head.Repeat = true
+		call.head.Retry = true
 		call.sends++
 		call.recordSeen(call.target)
 	}
@@ -124,7 +124,7 @@
 // budget bounds the number of backend servers that see it, but a server that
 // has rejected it may be tried again: a server that rejects requests at random
 // is as likely as not to serve the next attempt.
-func (p *entryPart) mayRetryRouted(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
+func (p *entryComponent) mayRetryRouted(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
 	if refused.Final || p.node.now.Expiry >= call.deadline || !safeToRetry(call, refused) {
 		return false
 	}
@@ -139,7 +139,7 @@
 }
 
 // chooseTarget returns the destination of the next attempt.
-func (p *entryPart) chooseTarget(call *entryCall) (coltsfootward.Instance, bool) {
+func (p *entryComponent) chooseTarget(call *entryCall) (coltsfootward.Instance, bool) {
 	if !call.routed {
 		return p.node.placement.choose(call)
 	}
@@ -163,7 +163,7 @@
 
 // settleAdmission returns the admission of an attempt that did not spend it. An
 // attempt that may have started has spent its admission, whatever its outcome.
-func (p *entryPart) settleAdmission(call *entryCall, e AttemptEnded) {
+func (p *entryComponent) settleAdmission(call *entryCall, e AttemptEnded) {
 	if call.routed {
 		return // charged once; finish releases the admission if nothing ran
 	}
@@ -208,7 +208,7 @@
 // no backend server saw does not draw on the retry budget of a routed request,
 // as it costs the servers nothing; their number is still limited, because each
 // one is a hop under load.
-func (p *entryPart) mayRetry(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
+func (p *entryComponent) mayRetry(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
 	if call.routed {
 		return p.mayRetryRouted(call, refused, unseen)
 	}
--- a/core/node/entry_end.go
+++ b/core/node/entry_end.go
@@ -14,7 +14,7 @@
 // An admission that no attempt has spent is released. Otherwise the
 // organisation would be charged for requests that never ran, and later requests
 // within its rate would be refused.
-func (p *entryPart) giveUp(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
+func (p *entryComponent) giveUp(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
 	if !call.inFlight {
 		p.node.rate.release(call.head.Organisation, call.admission)
 		call.admission = admission{}
@@ -25,7 +25,7 @@
 // finish refuses the call and removes it; evidence holds log fields that
 // explain the refusal. Once an attempt may have run, a later attempt that
 // certainly did not run does not change the execution status back to not run.
-func (p *entryPart) finish(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
+func (p *entryComponent) finish(call *entryCall, r coltsfootward.Refusal, evidence ...record.Field) {
 	delete(p.calls, call.id)
 	p.recordChildEnd(call, true)
 	if call.mayHaveRun && r.Execution == coltsfootward.ExecutionNotRun {
@@ -46,7 +46,7 @@
 
 // replay answers the call with the response to the first request under its
 // idempotency key, and removes the call.
-func (p *entryPart) replay(call *entryCall, answer *claim.Answer) {
+func (p *entryComponent) replay(call *entryCall, answer *claim.Answer) {
 	delete(p.calls, call.id)
 	if call.parent != "" {
 		p.node.ledger.release(call.parent, call.budget)
@@ -54,17 +54,17 @@
 	p.node.act(Replay{Call: call.id, Answer: *answer})
 }
 
-func (p *entryPart) refuse(id CallID, request coltsfootward.RequestID, r coltsfootward.Refusal, evidence ...record.Field) {
+func (p *entryComponent) refuse(id CallID, request coltsfootward.RequestID, r coltsfootward.Refusal, evidence ...record.Field) {
 	p.node.report(record.RequestRefused, append(refusalFields(request, r), evidence...)...)
 	p.node.act(Refuse{Call: id, Refusal: r})
 }
 
-// broken resumes a truncated response with another attempt, if the budget
+// responseTruncated resumes a truncated response with another attempt, if the budget
 // allows one. The new attempt may wait for its response to begin as long as the
 // first, since a download may have lasted far longer than the request's
 // timeout. The upstream is not marked as tried, because only the connection may
 // have failed.
-func (p *entryPart) broken(e AnswerBroken) {
+func (p *entryComponent) responseTruncated(e ResponseTruncated) {
 	call, ok := p.calls[e.Call]
 	if !ok || !call.answered {
 		return
@@ -85,7 +85,7 @@
 	p.finish(call, r)
 }
 
-func (p *entryPart) done(e CallDone) {
+func (p *entryComponent) callDone(e CallDone) {
 	call, ok := p.calls[e.Call]
 	if !ok {
 		return
@@ -96,7 +96,7 @@
 		used = min(e.Attempts, used)
 	}
 	call.attempts += used
-	if e.Whole && e.Attempts >= 0 {
+	if e.Complete && e.Attempts >= 0 {
 		p.node.ledger.recordNeed(call, e.Needed)
 	}
 	if call.parent != "" {
@@ -109,7 +109,7 @@
 
 // callerLeft cancels everything below a call whose caller has gone away. Work
 // for callers that are gone keeps an overloaded service from recovering.
-func (p *entryPart) callerLeft(id CallID) {
+func (p *entryComponent) callerLeft(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
 		return
@@ -139,7 +139,7 @@
 }
 
 // tick ends calls whose deadline has passed while they waited.
-func (p *entryPart) tick() {
+func (p *entryComponent) tick() {
 	p.updateGates()
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
@@ -150,7 +150,7 @@
 	}
 }
 
-func (p *entryPart) expire(call *entryCall) {
+func (p *entryComponent) expire(call *entryCall) {
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalTimeout, "the caller's time ran out")
 	if call.inFlight {
 		p.node.placement.attemptCancelled(call, true)
--- a/core/node/entry_route.go
+++ b/core/node/entry_route.go
@@ -15,11 +15,11 @@
 // configuration's routes, and returns the call to serve. A draining node still
 // accepts routed requests: its callers and its local backend server know no
 // other node, so it serves until it stops.
-func (p *entryPart) openRouted(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
+func (p *entryComponent) openRouted(e RequestArrived) (*entryCall, *coltsfootward.Refusal) {
 	configuration := p.node.configuration.current
 	if configuration.Revision() == 0 {
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalConfiguration, "no configuration has been read yet").
-			WithRetryAfter(p.node.spread(unconfiguredRetryAfter))
+			WithRetryAfter(p.node.jitter(unconfiguredRetryAfter))
 		return nil, &r
 	}
 	route, ok := configuration.Route(e.Host, e.Path)
@@ -40,7 +40,7 @@
 // authenticate returns the organisation that a request is charged to. It
 // returns the zero value for requests without an organisation, such as those of
 // backend servers.
-func (p *entryPart) authenticate(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
+func (p *entryComponent) authenticate(c coltsfootward.Configuration, route coltsfootward.Route, digest coltsfootward.KeyDigest) (coltsfootward.Organisation, *coltsfootward.Refusal) {
 	if !c.HasOrganisations() {
 		return coltsfootward.Organisation{}, nil
 	}
@@ -55,7 +55,7 @@
 	return organisation, nil
 }
 
-func (p *entryPart) newRoutedCall(e RequestArrived, route coltsfootward.Route, organisation coltsfootward.Organisation) *entryCall {
+func (p *entryComponent) newRoutedCall(e RequestArrived, route coltsfootward.Route, organisation coltsfootward.Organisation) *entryCall {
 	request := e.Request
 	if request == "" {
 		request = p.node.newRequestID()
@@ -84,23 +84,23 @@
 		routed:       true,
 	}
 	call.head = message.Call{
-		Request:      request,
-		Organisation: organisation.Name,
-		Service:      p.chooseService(route),
-		Method:       e.Method,
-		Path:         e.Path,
-		Priority:     priority,
-		Second:       secondary,
-		ShedRank:     RoutedRank(priority, secondary, organisation.Name, request),
-		Unrepeatable: route.Unrepeatable,
-		Route:        route.Name,
-		Host:         e.Host,
-		Caller:       p.node.options.Service,
+		Request:           request,
+		Organisation:      organisation.Name,
+		Service:           p.chooseService(route),
+		Method:            e.Method,
+		Path:              e.Path,
+		Priority:          priority,
+		SecondaryPriority: secondary,
+		ShedRank:          RoutedRank(priority, secondary, organisation.Name, request),
+		Unrepeatable:      route.Unrepeatable,
+		Route:             route.Name,
+		Host:              e.Host,
+		Caller:            p.node.options.Service,
 	}
 	if organisation.Name == "" {
 		call.head.Depth = 1
-		call.head.Repeat = p.node.source.Float64() < p.node.upstream.inFlightRetryRatio()
-		p.node.callees.Called(p.node.now.Monotonic, route.Name)
+		call.head.Retry = p.node.source.Float64() < p.node.upstream.inFlightRetryRatio()
+		p.node.callees.CallStarted(p.node.now.Monotonic, route.Name)
 	}
 	return call
 }
@@ -117,7 +117,7 @@
 // the weights exactly, and therefore so do those of the whole deployment. A
 // request that the chosen service has no capacity for is refused, not sent to
 // another service.
-func (p *entryPart) chooseService(route coltsfootward.Route) coltsfootward.ServiceName {
+func (p *entryComponent) chooseService(route coltsfootward.Route) coltsfootward.ServiceName {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
@@ -154,13 +154,13 @@
 }
 
 // forgetRoutes drops the state of routes that the configuration no longer has.
-func (p *entryPart) forgetRoutes(c coltsfootward.Configuration) {
+func (p *entryComponent) forgetRoutes(c coltsfootward.Configuration) {
 	names := make(map[coltsfootward.RouteName]bool)
 	for _, route := range c.Routes() {
 		names[route.Name] = true
 	}
 	maps.DeleteFunc(p.splitStates, func(name coltsfootward.RouteName, _ *splitState) bool { return !names[name] })
-	p.node.gates.Forget(func(name coltsfootward.RouteName) bool { return names[name] })
+	p.node.gates.Retain(func(name coltsfootward.RouteName) bool { return names[name] })
 }
 
 // KnownClasses returns the number of request classes whose required services
@@ -171,7 +171,7 @@
 // or further down the call chain, has no capacity for it. The refusal comes
 // before any work is done for the request. Child calls are never refused here,
 // because the work already done by the requests above them would be lost.
-func (p *entryPart) refuseAtGate(call *entryCall) bool {
+func (p *entryComponent) refuseAtGate(call *entryCall) bool {
 	if call.head.Depth > 0 {
 		return false
 	}
@@ -180,7 +180,7 @@
 		return false
 	}
 	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, fmt.Sprintf("service %q, which the request needs, has no room for requests of this importance", full)).
-		WithRetryAfter(p.node.placement.coldRetryAfter(full)+p.node.spread(gateRetryAfter(call.objective))), p.gateEvidence(call, full)...)
+		WithRetryAfter(p.node.placement.coldRetryAfter(full)+p.node.jitter(gateRetryAfter(call.objective))), p.gateEvidence(call, full)...)
 	return true
 }
 
@@ -204,14 +204,14 @@
 
 // recordChildEnd records how long a child call of the local backend server took
 // and whether it failed.
-func (p *entryPart) recordChildEnd(call *entryCall, failed bool) {
+func (p *entryComponent) recordChildEnd(call *entryCall, failed bool) {
 	if call.routed && call.head.Depth > 0 {
 		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrivedAt, failed)
 	}
 }
 
 // updateGates adjusts the gates and reports those that have changed.
-func (p *entryPart) updateGates() {
+func (p *entryComponent) updateGates() {
 	now := p.node.now.Monotonic
 	p.node.placement.withholdForCold()
 	p.node.gates.Tick(now)
@@ -221,7 +221,7 @@
 	p.nextGateReport = now + gateReportInterval
 	for _, m := range p.node.gates.Moved(now) {
 		p.node.report(record.GateMoved, field("service", string(m.Service)), field("excess", decimal(m.Excess)),
-			field("age", m.Age.String()), field("passed", decimal(m.Passed)))
+			field("age", m.Age.String()), field("passed", decimal(m.Admitted)))
 	}
 }
 
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -95,10 +95,10 @@
 	Attempts int
 }
 
-// AnswerBroken reports that a response was truncated after part of its body had
+// ResponseTruncated reports that a response was truncated after part of its body had
 // reached the caller, and that another attempt could fetch the rest. The node
 // responds with Forward or Refuse.
-type AnswerBroken struct{ Call CallID }
+type ResponseTruncated struct{ Call CallID }
 
 // CallDone reports that the response to an entry call has been delivered or
 // given up.
@@ -110,8 +110,8 @@
 	// Needed is the number of attempts that would have been used if none had
 	// failed.
 	Needed int
-	// Whole is set if the complete response reached the caller.
-	Whole bool
+	// Complete is set if the complete response reached the caller.
+	Complete bool
 	// Answer is the complete response to a request with an idempotency key, if
 	// its body is not longer than MaximumKeptAnswer. It is retained for
 	// repeated requests.
@@ -195,8 +195,8 @@
 // may stop as soon as no call is left.
 type FinishRequested struct{}
 
-// TableAnswered reports the outcome of a table operation.
-type TableAnswered struct {
+// TableResult reports the outcome of a table operation.
+type TableResult struct {
 	Operation OperationID
 	Rows      []coltsfootward.Row
 	// Err is nil, coltsfootward.ErrConflict or coltsfootward.ErrUnavailable.
@@ -211,7 +211,7 @@
 func (RequestArrived) isEvent()    {}
 func (CallerLeft) isEvent()        {}
 func (AttemptEnded) isEvent()      {}
-func (AnswerBroken) isEvent()      {}
+func (ResponseTruncated) isEvent() {}
 func (CallDone) isEvent()          {}
 func (PeerCallArrived) isEvent()   {}
 func (DispatchEnded) isEvent()     {}
@@ -220,4 +220,4 @@
 func (BackendAnnounced) isEvent()  {}
 func (BackendChecked) isEvent()    {}
 func (DrainRequested) isEvent()    {}
-func (TableAnswered) isEvent()     {}
+func (TableResult) isEvent()       {}
--- a/core/node/evidence.go
+++ b/core/node/evidence.go
@@ -21,7 +21,7 @@
 
 // evidence returns the log fields with the state of a call on its entry node
 // when the call ends.
-func (p *entryPart) evidence(call *entryCall) []record.Field {
+func (p *entryComponent) evidence(call *entryCall) []record.Field {
 	fields := []record.Field{
 		field("service", string(call.head.Service)),
 		field("route", string(call.head.Route)),
@@ -42,20 +42,20 @@
 // evidence returns the log fields that show how an organisation's rate was used
 // up: the rate and burst in force and, for each part, its holder, the tokens
 // left there, and the age of that information.
-func (p *ratePart) evidence(a *account) []record.Field {
+func (p *rateComponent) evidence(a *account) []record.Field {
 	var parts []string
 	for i, part := range a.share.Current() {
 		parts = append(parts, p.partEvidence(slotID{domain: part.Domain, index: part.Slot}, a.parts[i]))
 	}
 	return []record.Field{
-		field("rate", decimal(a.whole.PerSecond)),
-		field("burst", number(a.whole.Burst)),
+		field("rate", decimal(a.limit.PerSecond)),
+		field("burst", number(a.limit.Burst)),
 		field("revision", p.revision.String()),
 		field("parts", strings.Join(parts, "; ")),
 	}
 }
 
-func (p *ratePart) partEvidence(id slotID, view partView) string {
+func (p *rateComponent) partEvidence(id slotID, view partState) string {
 	holder, _ := p.node.slots.holder(id)
 	now := p.node.now.Monotonic
 	text := fmt.Sprintf("%s/%d at %s:", id.domain, id.index, holder.ID)
@@ -65,10 +65,10 @@
 	switch {
 	case view.failures > 0:
 		text += fmt.Sprintf(" %d draws unanswered", view.failures)
-	case !view.asked:
+	case !view.answered:
 		text += " not asked"
 	default:
-		text += fmt.Sprintf(" %d left %s ago", view.level, rounded(now-view.told))
+		text += fmt.Sprintf(" %d left %s ago", view.level, rounded(now-view.levelTime))
 	}
 	if wait := view.blockedUntil - now; wait > 0 {
 		text += ", asked again in " + rounded(wait)
@@ -79,11 +79,11 @@
 // gateEvidence returns the log fields that show how far the gate of a service
 // was closed, the excess load reported for the service, and the age of that
 // report.
-func (p *entryPart) gateEvidence(call *entryCall, service coltsfootward.ServiceName) []record.Field {
+func (p *entryComponent) gateEvidence(call *entryCall, service coltsfootward.ServiceName) []record.Field {
 	state := p.node.gates.State(p.node.now.Monotonic, service)
 	fields := []record.Field{
 		field("full", string(service)),
-		field("passed", decimal(state.Passed)),
+		field("passed", decimal(state.Admitted)),
 		field("excess", decimal(state.Excess)),
 		field("age", rounded(state.Age)),
 		field("rank", number(call.head.ShedRank)),
@@ -102,8 +102,8 @@
 
 // targetEvidence returns the log fields that show why no backend server of the
 // call's service could be chosen.
-func (p *entryPart) targetEvidence(call *entryCall) []record.Field {
-	census := p.node.placement.poolFor(call.head.Service).pool.Census(p.node.now.Monotonic, call.tried)
+func (p *entryComponent) targetEvidence(call *entryCall) []record.Field {
+	census := p.node.placement.poolFor(call.head.Service).pool.CountCandidates(p.node.now.Monotonic, call.tried)
 	fields := []record.Field{
 		field("known", number(census.Known)),
 		field("tried", number(census.Tried)),
@@ -128,7 +128,7 @@
 
 // evidence returns the log fields that show the load of the backend server when
 // a call for it was refused.
-func (p *upstreamPart) evidence(call *upstreamCall) []record.Field {
+func (p *upstreamComponent) evidence(call *upstreamCall) []record.Field {
 	fields := []record.Field{
 		field("service", string(call.head.Service)),
 		field("route", string(call.head.Route)),
--- a/core/node/handover.go
+++ b/core/node/handover.go
@@ -31,7 +31,7 @@
 // A slot whose lease has only expired is not handed over. This node may acquire
 // it again in the same epoch and grant further claims, which the handover would
 // lack.
-func (p *claimsPart) sendHandovers() {
+func (p *claimsComponent) sendHandovers() {
 	for _, slot := range p.slots.takeReleased() {
 		h, ok := p.held[slot.id]
 		if !ok || h.epoch != slot.epoch {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (p *claimsPart) sendHandover(slot releasedSlot, handover claim.Handover) {
+func (p *claimsComponent) sendHandover(slot releasedSlot, handover claim.Handover) {
 	p.node.report(record.ClaimsHandedOver, field("slot", number(slot.id.index)), field("claims", number(len(handover.Claims))))
 	pages := max((len(handover.Claims)+handoverPageClaims-1)/handoverPageClaims, 1)
 	for page := range pages {
@@ -57,7 +57,7 @@
 }
 
 // handoverReceived stores a page until this node holds the slot.
-func (p *claimsPart) handoverReceived(m message.ClaimHandover) {
+func (p *claimsComponent) handoverReceived(m message.ClaimHandover) {
 	maxPages := p.node.options.MaximumClaims/handoverPageClaims + 1
 	if m.Pages < 1 || m.Pages > maxPages || m.Page < 0 || m.Page >= m.Pages || len(m.Handover.Claims) > handoverPageClaims {
 		return
@@ -86,19 +86,19 @@
 // applyHandover adds the claims of the previous holder to those of a held slot.
 // The handover must come from the immediately preceding epoch, because a holder
 // in between may have granted keys that the handover does not contain.
-func (p *claimsPart) applyHandover(id slotID, h *slotClaims) {
+func (p *claimsComponent) applyHandover(id slotID, h *slotClaims) {
 	in, ok := p.handovers[id]
 	if !ok || in.epoch+1 != h.epoch || len(in.received) < in.pages {
 		return
 	}
 	delete(p.handovers, id)
-	h.claims.Take(p.node.now, in.content)
+	h.claims.Restore(p.node.now, in.content)
 	p.node.report(record.ClaimsTakenOver, field("slot", number(id.index)), field("claims", number(len(in.content.Claims))))
 }
 
 // checkHandovers applies handovers for slots that this node now holds, and
 // drops those that have expired.
-func (p *claimsPart) checkHandovers() {
+func (p *claimsComponent) checkHandovers() {
 	for _, id := range p.slots.localSlots() {
 		in, ok := p.handovers[id]
 		if !ok {
--- a/core/node/key.go
+++ b/core/node/key.go
@@ -47,7 +47,7 @@
 // markWithdrawn rejects a key at this node from now on and notifies a few
 // members. The change that withdraws the key may still be delayed by a slow
 // platform or by earlier changes that are missing.
-func (p *configurationPart) markWithdrawn(digest coltsfootward.KeyDigest) {
+func (p *configurationComponent) markWithdrawn(digest coltsfootward.KeyDigest) {
 	key, ok := p.current.Key(digest)
 	if p.withdrawn.digests[digest] || ok && key.Withdrawn {
 		return
@@ -73,7 +73,7 @@
 
 // key returns the key with the given digest, or a refusal if the key is not
 // accepted.
-func (p *configurationPart) key(digest coltsfootward.KeyDigest) (coltsfootward.Key, *coltsfootward.Refusal) {
+func (p *configurationComponent) key(digest coltsfootward.KeyDigest) (coltsfootward.Key, *coltsfootward.Refusal) {
 	if p.current.Revision() == 0 {
 		return coltsfootward.Key{}, refusal(coltsfootward.RefusalConfiguration, "no configuration has been read yet")
 	}
@@ -127,7 +127,7 @@
 // checkContact makes the node reject all keys after it was isolated for too
 // long. Otherwise a caller on the isolated side of a network partition could
 // use a withdrawn key for the whole partition.
-func (p *configurationPart) checkContact() {
+func (p *configurationComponent) checkContact() {
 	a := &p.contact
 	now := p.node.now.Expiry
 	// A node that rejects keys checks on every call, so that it accepts them
@@ -151,7 +151,7 @@
 	a.stopped = stopped
 }
 
-func (p *configurationPart) reachesMostDomains() bool {
+func (p *configurationComponent) reachesMostDomains() bool {
 	domains := slices.Concat(p.node.options.Domains, p.node.membership.machine.Domains())
 	slices.Sort(domains)
 	domains = slices.Compact(domains)
@@ -166,10 +166,10 @@
 
 // reaches reports whether a failure domain is reachable. The own domain counts
 // as reachable if no other node is known to run there.
-func (p *configurationPart) reaches(domain coltsfootward.FailureDomain) bool {
+func (p *configurationComponent) reaches(domain coltsfootward.FailureDomain) bool {
 	m := p.node.membership.machine
 	if domain == p.node.options.Self.Domain && len(m.Roster(domain)) <= 1 {
 		return true
 	}
-	return m.HeardWithin(p.node.now, domain, domainContactTimeout)
+	return m.SeenWithin(p.node.now, domain, domainContactTimeout)
 }
--- a/core/node/lease.go
+++ b/core/node/lease.go
@@ -52,9 +52,9 @@
 	misses int
 }
 
-// leasePart manages the leases of slots in the node's own failure domain and
+// leaseComponent manages the leases of slots in the node's own failure domain and
 // finds the holders of all other slots.
-type leasePart struct {
+type leaseComponent struct {
 	node  *Node
 	slots []*lease.Slot
 	// ranks is this node's position among each slot's candidates.
@@ -79,8 +79,8 @@
 	released []releasedSlot
 }
 
-func newLeasePart(n *Node) *leasePart {
-	p := &leasePart{
+func newLeaseComponent(n *Node) *leaseComponent {
+	p := &leaseComponent{
 		node:         n,
 		ranks:        make([]int, n.options.Slots),
 		successors:   make([]coltsfootward.Instance, n.options.Slots),
@@ -96,7 +96,7 @@
 	return p
 }
 
-func (p *leasePart) tick() {
+func (p *leaseComponent) tick() {
 	now := p.node.now
 	if now.Monotonic >= p.nextRank {
 		p.nextRank = now.Monotonic + rankInterval
@@ -112,7 +112,7 @@
 	}
 }
 
-func (p *leasePart) candidacy(index int) lease.Candidacy {
+func (p *leaseComponent) candidacy(index int) lease.Candidacy {
 	rank := p.ranks[index]
 	term := p.node.options.LeaseTerm
 	c := lease.Candidacy{Eligible: !p.node.draining && p.watches(index), Delay: time.Duration(rank) * term / 3}
@@ -125,10 +125,10 @@
 	return c
 }
 
-func (p *leasePart) ownedCount() int {
+func (p *leaseComponent) ownedCount() int {
 	count := 0
 	for _, s := range p.slots {
-		if s.Mine() && !s.Releasing() {
+		if s.IsHolderOfRecord() && !s.Releasing() {
 			count++
 		}
 	}
@@ -137,7 +137,7 @@
 
 // updateRanks computes this node's position among each slot's candidates, and
 // its fair share of the slots.
-func (p *leasePart) updateRanks() {
+func (p *leaseComponent) updateRanks() {
 	domain := p.node.options.Self.Domain
 	count := 1
 	for i := range p.slots {
@@ -151,7 +151,7 @@
 // candidates returns the nodes of the slot's failure domain in the order of
 // preference for holding the slot. Nodes that know the same peers compute the
 // same order.
-func (p *leasePart) candidates(id slotID) []coltsfootward.Instance {
+func (p *leaseComponent) candidates(id slotID) []coltsfootward.Instance {
 	var running []coltsfootward.Instance
 	for _, member := range p.node.membership.roster(id.domain) {
 		instance := member.Announcement.Instance
@@ -170,7 +170,7 @@
 }
 
 // successorsOf returns the first candidates of a slot, excluding this node.
-func (p *leasePart) successorsOf(id slotID) []coltsfootward.Instance {
+func (p *leaseComponent) successorsOf(id slotID) []coltsfootward.Instance {
 	order := slices.DeleteFunc(p.candidates(id), func(c coltsfootward.Instance) bool { return c.ID == p.node.options.Self.ID })
 	return order[:min(len(order), slotWatchers)]
 }
@@ -179,7 +179,7 @@
 // Otherwise the node that started first would keep them all, and its loss would
 // stop the whole failure domain. Slots in use are released one at a time,
 // because the next holder starts with empty buckets.
-func (p *leasePart) rebalance() {
+func (p *leaseComponent) rebalance() {
 	for !p.node.draining && p.ownedCount() > p.fairShare {
 		index := p.leastPreferred()
 		unused := p.unused(index)
@@ -192,7 +192,7 @@
 
 // release gives a slot up. From now on this node grants nothing more in the
 // slot's current epoch, even if the platform does not store the release.
-func (p *leasePart) release(index int) {
+func (p *leaseComponent) release(index int) {
 	slot := p.slots[index]
 	if slot.Releasing() {
 		return
@@ -203,7 +203,7 @@
 }
 
 // takeReleased returns the slots that were released since the last call.
-func (p *leasePart) takeReleased() []releasedSlot {
+func (p *leaseComponent) takeReleased() []releasedSlot {
 	released := p.released
 	p.released = nil
 	return released
@@ -211,17 +211,17 @@
 
 // unused reports whether this node has granted neither tokens nor claims for
 // the slot in its current epoch.
-func (p *leasePart) unused(index int) bool {
+func (p *leaseComponent) unused(index int) bool {
 	slot := slotID{domain: p.node.options.Self.Domain, index: index}
 	return p.node.rate.unused(index) && p.node.claims.held[slot] == nil
 }
 
 // leastPreferred returns the held slot for which this node is the lowest-ranked
 // candidate.
-func (p *leasePart) leastPreferred() int {
+func (p *leaseComponent) leastPreferred() int {
 	worst := -1
 	for i, s := range p.slots {
-		if s.Mine() && !s.Releasing() && (worst < 0 || p.ranks[i] > p.ranks[worst]) {
+		if s.IsHolderOfRecord() && !s.Releasing() && (worst < 0 || p.ranks[i] > p.ranks[worst]) {
 			worst = i
 		}
 	}
@@ -229,10 +229,10 @@
 }
 
 // drain releases all slots.
-func (p *leasePart) drain() {
+func (p *leaseComponent) drain() {
 	p.releaseStarted = p.node.now.Monotonic
 	for i, s := range p.slots {
-		if s.Mine() {
+		if s.IsHolderOfRecord() {
 			p.release(i)
 		}
 	}
@@ -240,12 +240,12 @@
 
 // releasePending reports whether the node still waits for the platform to store
 // the release of its slots.
-func (p *leasePart) releasePending() bool {
-	mine := slices.ContainsFunc(p.slots, (*lease.Slot).Mine)
+func (p *leaseComponent) releasePending() bool {
+	mine := slices.ContainsFunc(p.slots, (*lease.Slot).IsHolderOfRecord)
 	return mine && !p.node.table.unavailable && p.node.now.Monotonic < p.releaseStarted+releaseTimeout
 }
 
-func (p *leasePart) execute(index int, action lease.Action) {
+func (p *leaseComponent) execute(index int, action lease.Action) {
 	key := lease.Key(p.node.options.Self.Domain, index)
 	slot := p.slots[index]
 	switch a := action.(type) {
@@ -261,7 +261,7 @@
 		p.node.table.transact(t, func(err error) {
 			releasing := slot.Releasing()
 			p.execute(index, slot.WriteAnswered(p.node.now, err))
-			if releasing && !slot.Mine() {
+			if releasing && !slot.IsHolderOfRecord() {
 				p.offerSlot(slotID{domain: p.node.options.Self.Domain, index: index})
 			}
 		})
@@ -272,7 +272,7 @@
 // offerSlot notifies the next candidate that a slot was released. Without the
 // notification the slot would stay unused until the candidate's next read of
 // the record.
-func (p *leasePart) offerSlot(id slotID) {
+func (p *leaseComponent) offerSlot(id slotID) {
 	order := p.successorsOf(id)
 	if len(order) == 0 {
 		return
@@ -281,16 +281,16 @@
 	p.successors[id.index] = order[0]
 }
 
-func (p *leasePart) offerReceived(m message.SlotOffer) {
+func (p *leaseComponent) offerReceived(m message.SlotOffer) {
 	slot, ok := p.localSlot(slotID{domain: m.Domain, index: m.Slot})
 	if !ok {
 		return
 	}
 	p.offeredUntil[m.Slot] = p.node.now.Monotonic + p.node.options.LeaseTerm
-	slot.Look()
+	slot.RequestRead()
 }
 
-func (p *leasePart) reportHeld(index int) {
+func (p *leaseComponent) reportHeld(index int) {
 	held := p.slots[index].Held(p.node.now)
 	if held == p.reported[index] {
 		return
@@ -304,7 +304,7 @@
 }
 
 // localSlot returns the slot if it is in this node's failure domain.
-func (p *leasePart) localSlot(id slotID) (*lease.Slot, bool) {
+func (p *leaseComponent) localSlot(id slotID) (*lease.Slot, bool) {
 	if id.domain != p.node.options.Self.Domain || id.index < 0 || id.index >= len(p.slots) {
 		return nil, false
 	}
@@ -312,7 +312,7 @@
 }
 
 // holder returns the instance to ask for a slot.
-func (p *leasePart) holder(id slotID) (coltsfootward.Instance, bool) {
+func (p *leaseComponent) holder(id slotID) (coltsfootward.Instance, bool) {
 	if s, ok := p.localSlot(id); ok && s.Held(p.node.now) {
 		return p.node.options.Self, true
 	}
@@ -332,7 +332,7 @@
 	return order[r.misses%len(order)], true
 }
 
-func (p *leasePart) hint(id slotID) *holderHint {
+func (p *leaseComponent) hint(id slotID) *holderHint {
 	r, ok := p.hints[id]
 	if !ok {
 		r = &holderHint{}
@@ -342,19 +342,19 @@
 }
 
 // setHolder records the holder of a slot.
-func (p *leasePart) setHolder(id slotID, holder coltsfootward.Instance) {
+func (p *leaseComponent) setHolder(id slotID, holder coltsfootward.Instance) {
 	*p.hint(id) = holderHint{holder: holder}
 }
 
 // holderMissed records that the instance asked last does not hold the slot.
-func (p *leasePart) holderMissed(id slotID) {
+func (p *leaseComponent) holderMissed(id slotID) {
 	r := p.hint(id)
 	*r = holderHint{misses: r.misses + 1}
 }
 
 // lastKnownHolder returns the holder of a slot in this node's failure domain,
 // for a node that asked this one although it does not hold the slot.
-func (p *leasePart) lastKnownHolder(id slotID) coltsfootward.Instance {
+func (p *leaseComponent) lastKnownHolder(id slotID) coltsfootward.Instance {
 	s, ok := p.localSlot(id)
 	if !ok {
 		return coltsfootward.Instance{}
@@ -377,11 +377,11 @@
 }
 
 // watches reports whether this node reads the slot's record.
-func (p *leasePart) watches(index int) bool {
+func (p *leaseComponent) watches(index int) bool {
 	rank := p.ranks[index]
 	return rank >= 0 && rank < slotWatchers
 }
 
-func (p *leasePart) messageReceived(from coltsfootward.InstanceID) { delete(p.disconnected, from) }
+func (p *leaseComponent) messageReceived(from coltsfootward.InstanceID) { delete(p.disconnected, from) }
 
-func (p *leasePart) peerLost(id coltsfootward.InstanceID) { p.disconnected[id] = true }
+func (p *leaseComponent) peerLost(id coltsfootward.InstanceID) { p.disconnected[id] = true }
--- a/core/node/membership.go
+++ b/core/node/membership.go
@@ -43,9 +43,9 @@
 	contactTimeout = 5 * time.Second
 )
 
-// membershipPart tracks the other nodes and the backend servers that they
+// membershipComponent tracks the other nodes and the backend servers that they
 // announce.
-type membershipPart struct {
+type membershipComponent struct {
 	node    *Node
 	machine *membership.Machine
 	// local is this node's own announcement.
@@ -72,14 +72,14 @@
 	contactDomains []coltsfootward.FailureDomain
 }
 
-func newMembershipPart(n *Node) *membershipPart {
-	p := &membershipPart{node: n, started: n.now.Monotonic, rank: noRank, rowRank: noRank}
+func newMembershipComponent(n *Node) *membershipComponent {
+	p := &membershipComponent{node: n, started: n.now.Monotonic, rank: noRank, rowRank: noRank}
 	p.machine = membership.New(membership.Options{
-		Self:      n.options.Self,
-		Send:      func(to coltsfootward.Instance, m message.Message) { n.act(Send{To: to, Message: m}) },
-		Digest:    n.configuration.ownDigest,
-		Changed:   p.memberChanged,
-		Reachable: p.reachabilityChanged,
+		Self:        n.options.Self,
+		Send:        func(to coltsfootward.Instance, m message.Message) { n.act(Send{To: to, Message: m}) },
+		Digest:      n.configuration.ownDigest,
+		OnChange:    p.memberChanged,
+		OnReachable: p.reachabilityChanged,
 	}, n.source, n.now)
 	p.local = p.machine.Local()
 	p.jitter = float64(xxhash.Sum64String(string(n.options.Self.ID))) / math.MaxUint64
@@ -90,30 +90,30 @@
 
 // jittered returns a duration between shortest and twice shortest that differs
 // from node to node.
-func (p *membershipPart) jittered(shortest time.Duration) time.Duration {
+func (p *membershipComponent) jittered(shortest time.Duration) time.Duration {
 	return shortest + time.Duration(p.jitter*float64(shortest))
 }
 
 // roster returns the members of a failure domain that have not left, with the
 // time when each was last seen, in an order that all nodes share. It includes
 // this node and the members that are gone, which have that state.
-func (p *membershipPart) roster(domain coltsfootward.FailureDomain) []membership.Member {
+func (p *membershipComponent) roster(domain coltsfootward.FailureDomain) []membership.Member {
 	return p.machine.Roster(domain)
 }
 
 // instance returns the instance of a member.
-func (p *membershipPart) instance(id coltsfootward.InstanceID) (coltsfootward.Instance, bool) {
+func (p *membershipComponent) instance(id coltsfootward.InstanceID) (coltsfootward.Instance, bool) {
 	member, ok := p.machine.Member(id)
 	return member.Announcement.Instance, ok
 }
 
-func (p *membershipPart) messageReceived(e MessageArrived) {
+func (p *membershipComponent) messageReceived(e MessageArrived) {
 	p.machine.Receive(p.node.now, e.From, e.Message, e.Age)
 	p.local = p.machine.Local()
 }
 
-func (p *membershipPart) memberChanged(old, news message.News) {
-	p.node.placement.changed(old, news)
+func (p *membershipComponent) memberChanged(old, news message.MemberUpdate) {
+	p.node.placement.memberChanged(old, news)
 	instance := news.Announcement.Instance
 	if old.Announcement.Instance.Incarnation != instance.Incarnation || news.State == message.MemberLeft {
 		p.node.confirmation.forgetMember(instance.ID)
@@ -131,7 +131,7 @@
 	}
 }
 
-func (p *membershipPart) reachabilityChanged(domain coltsfootward.FailureDomain, reachable bool) {
+func (p *membershipComponent) reachabilityChanged(domain coltsfootward.FailureDomain, reachable bool) {
 	code := record.DomainUnreachable
 	if reachable {
 		code = record.DomainReachable
@@ -139,36 +139,36 @@
 	p.node.report(code, field("domain", string(domain)))
 }
 
-func (p *membershipPart) backendAnnounced(e BackendAnnounced) {
+func (p *membershipComponent) backendAnnounced(e BackendAnnounced) {
 	changed := p.local.Service != e.Service || p.local.Slots != e.Slots || p.local.Draining != (e.Draining || p.local.Leaving)
 	p.node.upstream.cold.announced(e.Cold)
 	if !changed {
 		return
 	}
-	p.machine.AnnounceCold(e.Service, e.Slots, e.Draining, p.node.upstream.cold.left())
+	p.machine.AnnounceCold(e.Service, e.Slots, e.Draining, p.node.upstream.cold.remaining())
 	p.publishLocal()
 	code := record.BackendAnnounced
 	if e.Draining {
 		code = record.BackendDraining
 	}
 	p.node.report(code, field("service", string(e.Service)), field("slots", number(e.Slots)))
-	p.node.upstream.start()
+	p.node.upstream.dispatchQueued()
 }
 
 // coldChanged announces a changed remaining cold time of the local backend
 // server.
-func (p *membershipPart) coldChanged() {
+func (p *membershipComponent) coldChanged() {
 	if p.local.Service == "" {
 		return
 	}
-	p.machine.AnnounceCold(p.local.Service, p.local.Slots, p.local.Draining, p.node.upstream.cold.left())
+	p.machine.AnnounceCold(p.local.Service, p.local.Slots, p.local.Draining, p.node.upstream.cold.remaining())
 	p.publishLocal()
 }
 
 // backendLost withdraws the local backend server until it announces itself
 // again. Nothing listens at its address, so every request placed on it would
 // waste a hop.
-func (p *membershipPart) backendLost() {
+func (p *membershipComponent) backendLost() {
 	if p.local.Service == "" {
 		return
 	}
@@ -177,21 +177,21 @@
 	p.publishLocal()
 }
 
-func (p *membershipPart) drain() {
-	p.machine.Leave()
+func (p *membershipComponent) drain() {
+	p.machine.AnnounceLeaving()
 	p.publishLocal()
 }
 
 // publishLocal applies a change of this node's own announcement.
-func (p *membershipPart) publishLocal() {
-	old := message.News{Announcement: p.local, State: message.MemberAlive}
+func (p *membershipComponent) publishLocal() {
+	old := message.MemberUpdate{Announcement: p.local, State: message.MemberAlive}
 	p.local = p.machine.Local()
-	p.node.placement.changed(old, message.News{Announcement: p.local, State: message.MemberAlive})
+	p.node.placement.memberChanged(old, message.MemberUpdate{Announcement: p.local, State: message.MemberAlive})
 }
 
-func (p *membershipPart) announceStop() { p.machine.Left() }
+func (p *membershipComponent) announceStop() { p.machine.AnnounceLeft() }
 
-func (p *membershipPart) tick() {
+func (p *membershipComponent) tick() {
 	p.machine.Tick(p.node.now)
 	p.updateRank()
 	if p.scanning || p.node.now.Monotonic < p.nextScan {
@@ -208,7 +208,7 @@
 // updateRank tracks this node's rank among its failure domain's contacts. Once
 // the rank has settled, the node makes sure that its row in the table is
 // correct.
-func (p *membershipPart) updateRank() {
+func (p *membershipComponent) updateRank() {
 	if rank := p.machine.Rank(contactsPerDomain); rank != p.rank {
 		p.rank, p.rankSince = rank, p.node.now.Monotonic
 	}
@@ -223,16 +223,16 @@
 
 // rankSettled reports whether this node's rank has been stable for
 // rankSettleTime.
-func (p *membershipPart) rankSettled() bool {
+func (p *membershipComponent) rankSettled() bool {
 	return p.node.now.Monotonic-p.rankSince >= rankSettleTime
 }
 
-func (p *membershipPart) readContacts() {
+func (p *membershipComponent) readContacts() {
 	p.scanning = true
 	p.node.table.scan(ContactPrefix, "", contactScanLimit, func(rows []coltsfootward.Row, err error) {
 		p.scanning = false
 		if err != nil {
-			p.nextScan = p.node.now.Monotonic + p.node.spread(p.scanBackoff)
+			p.nextScan = p.node.now.Monotonic + p.node.jitter(p.scanBackoff)
 			p.scanBackoff = min(2*p.scanBackoff, maxScanDelay)
 			return
 		}
@@ -246,9 +246,9 @@
 // noRank is the rank of a node that is not among the contacts.
 const noRank = -1
 
-func (p *membershipPart) isAlone() bool { return p.machine.Size() == 1 }
+func (p *membershipComponent) isAlone() bool { return p.machine.Size() == 1 }
 
-func (p *membershipPart) scanInterval() time.Duration {
+func (p *membershipComponent) scanInterval() time.Duration {
 	if p.isAlone() {
 		return p.node.options.PollInterval
 	}
@@ -259,7 +259,7 @@
 // that this node's own row is correct if it should have one. Nothing is written
 // while the rows are correct, so a stable deployment causes no writes on the
 // platform.
-func (p *membershipPart) processContacts(rows []coltsfootward.Row) {
+func (p *membershipComponent) processContacts(rows []coltsfootward.Row) {
 	self := p.node.options.Self
 	p.contactDomains = p.contactDomains[:0]
 	p.contactRows = make(map[string]coltsfootward.Instance)
@@ -284,7 +284,7 @@
 // ensureRow writes this node's row unless it is correct already. A row that
 // differs only in the incarnation counts as correct, since its address still
 // leads to this node.
-func (p *membershipPart) ensureRow() {
+func (p *membershipComponent) ensureRow() {
 	self := p.node.options.Self
 	key := ContactPrefix + string(self.Domain) + "/" + strconv.Itoa(max(p.rowRank, 0))
 	row := p.contactRows[key]
@@ -296,14 +296,14 @@
 	p.writeContactRow(key)
 }
 
-func (p *membershipPart) addContact(instance coltsfootward.Instance) {
+func (p *membershipComponent) addContact(instance coltsfootward.Instance) {
 	if !slices.Contains(p.contactDomains, instance.Domain) {
 		p.contactDomains = append(p.contactDomains, instance.Domain)
 	}
 	p.machine.Contact(p.node.now, instance)
 }
 
-func (p *membershipPart) writeContactRow(key string) {
+func (p *membershipComponent) writeContactRow(key string) {
 	value, err := json.Marshal(p.node.options.Self)
 	if err != nil {
 		return
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -23,47 +23,47 @@
 	// finishing is set once the callers' connections have been closed.
 	finishing bool
 
-	configuration *configurationPart
-	confirmation  *confirmationPart
-	domains       domainsPart
-	membership    *membershipPart
-	placement     *placementPart
-	rate          *ratePart
-	lease         *leasePart
+	configuration *configurationComponent
+	confirmation  *confirmationComponent
+	domains       domainsComponent
+	membership    *membershipComponent
+	placement     *placementComponent
+	rate          *rateComponent
+	lease         *leaseComponent
 	assigned      *assignedSlots
 	slots         slotDirectory
 	meter         pressure.Meter
 	throttle      pressure.Throttle
 	callees       pressure.Callees
 	gates         pressure.Gates
-	claims        *claimsPart
-	ledger        *ledgerPart
-	entry         *entryPart
-	upstream      *upstreamPart
-	table         *tablePart
+	claims        *claimsComponent
+	ledger        *ledgerComponent
+	entry         *entryComponent
+	upstream      *upstreamComponent
+	table         *tableComponent
 }
 
 // New returns a node that has no configuration yet and knows no peer. All
 // random choices come from source.
 func New(options Options, source *rand.Rand, now coltsfootward.Instant) *Node {
 	n := &Node{options: options.WithDefaults(), source: source, now: now}
-	n.table = newTablePart(n)
-	n.configuration = newConfigurationPart(n)
-	n.confirmation = newConfirmationPart(n)
-	n.domains = domainsPart{node: n}
-	n.membership = newMembershipPart(n)
-	n.placement = newPlacementPart(n)
-	n.lease = newLeasePart(n)
+	n.table = newTableComponent(n)
+	n.configuration = newConfigurationComponent(n)
+	n.confirmation = newConfirmationComponent(n)
+	n.domains = domainsComponent{node: n}
+	n.membership = newMembershipComponent(n)
+	n.placement = newPlacementComponent(n)
+	n.lease = newLeaseComponent(n)
 	n.assigned = newAssignedSlots(n)
 	n.slots = leasedSlots{node: n}
 	if n.options.Routed {
 		n.slots = n.assigned
 	}
-	n.rate = newRatePart(n)
-	n.claims = newClaimsPart(n)
-	n.ledger = newLedgerPart(n)
-	n.entry = newEntryPart(n)
-	n.upstream = newUpstreamPart(n)
+	n.rate = newRateComponent(n)
+	n.claims = newClaimsComponent(n)
+	n.ledger = newLedgerComponent(n)
+	n.entry = newEntryComponent(n)
+	n.upstream = newUpstreamComponent(n)
 	return n
 }
 
@@ -89,14 +89,14 @@
 		n.upstream.callerLeft(e.Call)
 	case AttemptEnded:
 		n.entry.attemptEnded(e)
-	case AnswerBroken:
-		n.entry.broken(e)
+	case ResponseTruncated:
+		n.entry.responseTruncated(e)
 	case CallDone:
-		n.entry.done(e)
+		n.entry.callDone(e)
 	case PeerCallArrived:
 		n.upstream.arrived(e)
 	case DispatchEnded:
-		n.upstream.ended(e)
+		n.upstream.dispatchEnded(e)
 	case MessageArrived:
 		n.handleMessage(e)
 	case PeerLost:
@@ -108,7 +108,7 @@
 		n.upstream.cold.checked(e)
 	case DrainRequested:
 		n.drain()
-	case TableAnswered:
+	case TableResult:
 		n.table.operationAnswered(e)
 	case ConfigurationRead:
 		n.configuration.adopt(e.Configuration)
@@ -173,7 +173,7 @@
 		n.configuration.digestReceived(e, m.Gossip.Digest)
 	case *message.ProbeAnswer:
 		n.configuration.digestReceived(e, m.Gossip.Digest)
-	case *message.ClaimRequest, *message.ClaimVerdict, *message.ClaimHandover, *message.ClaimEnd, *message.ClaimEndTaken:
+	case *message.ClaimRequest, *message.ClaimVerdict, *message.ClaimHandover, *message.ClaimEnd, *message.ClaimEndAcknowledged:
 		n.claims.messageReceived(e)
 	case *message.ConfigurationDigest:
 		n.configuration.digestReceived(e, *m)
@@ -181,7 +181,7 @@
 		n.configuration.pullReceived(e.From, *m)
 	case *message.ConfigurationChanges:
 		n.configuration.changesReceived(e.From, *m)
-	case *message.ConfigurationWhole:
+	case *message.FullConfiguration:
 		n.domains.adopt(m.OutOfService)
 		n.configuration.adopt(m.Configuration())
 	case *message.Draw:
--- a/core/node/node_test.go
+++ b/core/node/node_test.go
@@ -12,8 +12,8 @@
 
 const testKey = coltsfootward.KeyDigest("digest")
 
-// single drives one node without a network.
-type single struct {
+// testNode drives one node without a network.
+type testNode struct {
 	t     *testing.T
 	node  *node.Node
 	table rowTable
@@ -27,11 +27,11 @@
 func (t rowTable) answer(action node.Action) (node.Event, bool) {
 	switch a := action.(type) {
 	case node.ReadTable:
-		return node.TableAnswered{Operation: a.Operation, Rows: []coltsfootward.Row{t[a.Key]}}, true
+		return node.TableResult{Operation: a.Operation, Rows: []coltsfootward.Row{t[a.Key]}}, true
 	case node.ScanTable:
-		return node.TableAnswered{Operation: a.Operation}, true
+		return node.TableResult{Operation: a.Operation}, true
 	case node.TransactTable:
-		return node.TableAnswered{Operation: a.Operation, Err: t.transact(a.Transaction)}, true
+		return node.TableResult{Operation: a.Operation, Err: t.transact(a.Transaction)}, true
 	default:
 		return nil, false
 	}
@@ -49,20 +49,20 @@
 	return nil
 }
 
-func newSingle(t *testing.T) *single {
+func newTestNode(t *testing.T) *testNode {
 	t.Helper()
 	options := node.Options{
 		Self:    coltsfootward.Instance{ID: "north-1", Domain: "north", Address: "127.0.0.1:1", Incarnation: 1},
 		Domains: []coltsfootward.FailureDomain{"north"},
 	}
-	s := &single{t: t, table: make(rowTable), now: coltsfootward.At(time.Hour)}
+	s := &testNode{t: t, table: make(rowTable), now: coltsfootward.At(time.Hour)}
 	s.node = node.New(options, rand.New(rand.NewPCG(1, 2)), s.now)
 	s.acquireSlots()
 	return s
 }
 
 // handle passes an event to the node and answers its table operations.
-func (s *single) handle(event node.Event) []node.Action {
+func (s *testNode) handle(event node.Event) []node.Action {
 	actions := s.node.Handle(s.now, event)
 	for i := 0; i < len(actions); i++ {
 		if answer, ok := s.table.answer(actions[i]); ok {
@@ -73,7 +73,7 @@
 }
 
 // acquireSlots runs the node until it holds its failure domain's slots.
-func (s *single) acquireSlots() {
+func (s *testNode) acquireSlots() {
 	for range 4 {
 		s.now = s.now.Add(time.Second)
 		s.handle(node.Tick{})
@@ -82,7 +82,7 @@
 
 // configure puts a configuration with one organisation, its key and one service
 // in force.
-func (s *single) configure(rate coltsfootward.Rate) {
+func (s *testNode) configure(rate coltsfootward.Rate) {
 	s.handle(node.MessageArrived{Message: &message.ConfigurationChanges{Changes: []coltsfootward.Change{
 		{Revision: 1, Organisation: &coltsfootward.Organisation{Name: "traders", Rate: rate}},
 		{Revision: 2, Key: &coltsfootward.Key{ID: "k", Digest: testKey, Organisation: "traders"}},
@@ -91,7 +91,7 @@
 }
 
 // request sends a request and returns the resulting refusal or forward.
-func (s *single) request() (*node.Refuse, *node.Forward) {
+func (s *testNode) request() (*node.Refuse, *node.Forward) {
 	s.next++
 	for _, action := range s.handle(node.RequestArrived{Call: s.next, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}) {
 		switch a := action.(type) {
@@ -109,7 +109,7 @@
 // rate by the time the server is available, and its requests are refused as
 // above the rate.
 func TestRefusalWithoutBackendServerSpendsNoToken(t *testing.T) {
-	s := newSingle(t)
+	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 0.001, Burst: 2})
 	for range 5 {
 		refuse, _ := s.request()
@@ -128,7 +128,7 @@
 // refusal that says no backend server is available would make operators look
 // for servers that are running.
 func TestLastServersRefusalIsReturned(t *testing.T) {
-	s := newSingle(t)
+	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 100, Burst: 100})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 1})
 	refuse, forward := s.request()
--- a/core/node/options.go
+++ b/core/node/options.go
@@ -141,15 +141,15 @@
 	claims := o.claims().WithDefaults()
 	o.ClaimWindow = claims.Window
 	o.ClaimClockMargin = claims.ClockMargin
-	o.MaximumClaims = claims.Claims
-	o.KeptAnswerBytes = claims.AnswerBytes
+	o.MaximumClaims = claims.MaximumClaims
+	o.KeptAnswerBytes = claims.MaximumAnswerBytes
 }
 
 func (o Options) claims() claim.Options {
 	return claim.Options{
-		Window:      o.ClaimWindow,
-		ClockMargin: o.ClaimClockMargin,
-		Claims:      o.MaximumClaims,
-		AnswerBytes: o.KeptAnswerBytes,
+		Window:             o.ClaimWindow,
+		ClockMargin:        o.ClaimClockMargin,
+		MaximumClaims:      o.MaximumClaims,
+		MaximumAnswerBytes: o.KeptAnswerBytes,
 	}
 }
--- a/core/node/overload_test.go
+++ b/core/node/overload_test.go
@@ -11,15 +11,15 @@
 
 // newNodeWithBackend returns a node whose backend server of the service quotes
 // has one slot.
-func newNodeWithBackend(t *testing.T) *single {
-	s := newSingle(t)
+func newNodeWithBackend(t *testing.T) *testNode {
+	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 1000, Burst: 1000})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 1})
 	return s
 }
 
-// arrive delivers a call from a peer and returns the node's actions.
-func (s *single) arrive(call node.CallID, priority coltsfootward.Priority) []node.Action {
+// sendPeerCall delivers a call from a peer and returns the node's actions.
+func (s *testNode) sendPeerCall(call node.CallID, priority coltsfootward.Priority) []node.Action {
 	return s.handle(node.PeerCallArrived{Call: call, Head: message.Call{
 		Request: "r", Organisation: "traders", Service: "quotes", Method: "GET", Path: "/",
 		Priority: priority, Budget: 2, Timeout: time.Second,
@@ -54,11 +54,11 @@
 // callers would time out as well.
 func TestCancelledCallFreesItsSlot(t *testing.T) {
 	s := newNodeWithBackend(t)
-	if got := dispatchedCalls(s.arrive(1, coltsfootward.PriorityNormal)); len(got) != 1 {
+	if got := dispatchedCalls(s.sendPeerCall(1, coltsfootward.PriorityNormal)); len(got) != 1 {
 		t.Fatalf("got %v dispatched, want the first call", got)
 	}
-	s.arrive(2, coltsfootward.PriorityNormal)
-	s.arrive(3, coltsfootward.PriorityNormal)
+	s.sendPeerCall(2, coltsfootward.PriorityNormal)
+	s.sendPeerCall(3, coltsfootward.PriorityNormal)
 	left := refusals(s.handle(node.CallerLeft{Call: 2}))
 	if len(left) != 1 || left[0].Refusal.Execution != coltsfootward.ExecutionNotRun {
 		t.Errorf("got refusals %+v for a cancelled call in the queue, want one with execution not_run", left)
@@ -74,9 +74,9 @@
 // critical one that arrived last must be dispatched first.
 func TestCriticalCallIsDispatchedFirst(t *testing.T) {
 	s := newNodeWithBackend(t)
-	s.arrive(1, coltsfootward.PriorityNormal)
-	s.arrive(2, coltsfootward.PriorityLow)
-	s.arrive(3, coltsfootward.PriorityCritical)
+	s.sendPeerCall(1, coltsfootward.PriorityNormal)
+	s.sendPeerCall(2, coltsfootward.PriorityLow)
+	s.sendPeerCall(3, coltsfootward.PriorityCritical)
 	got := dispatchedCalls(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchAnswered}))
 	if len(got) != 1 || got[0] != 3 {
 		t.Errorf("got %v dispatched, want call 3", got)
@@ -93,7 +93,7 @@
 		{Revision: 4, Service: &coltsfootward.Service{Name: "archive"}},
 	}}})
 	var token node.CallToken
-	for _, action := range s.arrive(1, coltsfootward.PriorityNormal) {
+	for _, action := range s.sendPeerCall(1, coltsfootward.PriorityNormal) {
 		if dispatch, ok := action.(node.Dispatch); ok {
 			token = dispatch.Token
 		}
@@ -112,7 +112,7 @@
 // the retry allowance is used up; after that, the service gets the callers'
 // requests and no more.
 func TestRetryAllowanceBoundsRetries(t *testing.T) {
-	s := newSingle(t)
+	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 10000, Burst: 10000})
 	s.handle(node.BackendAnnounced{Service: "quotes", Slots: 1})
 	s.addPeer("north-2")
@@ -135,8 +135,8 @@
 }
 
 // addPeer announces another node with a backend server of quotes to the node.
-func (s *single) addPeer(id coltsfootward.InstanceID) {
-	s.handle(node.MessageArrived{From: id, Message: &message.Gossip{News: []message.News{{
+func (s *testNode) addPeer(id coltsfootward.InstanceID) {
+	s.handle(node.MessageArrived{From: id, Message: &message.Gossip{Updates: []message.MemberUpdate{{
 		Announcement: message.Announcement{
 			Instance: coltsfootward.Instance{ID: id, Domain: "north", Address: "127.0.0.1:2", Incarnation: 1},
 			Version:  1, Service: "quotes", Slots: 1,
--- a/core/node/placement.go
+++ b/core/node/placement.go
@@ -10,9 +10,9 @@
 	"coltsfootward/core/retry"
 )
 
-// placementPart chooses the upstream for each attempt and bounds the retries of
+// placementComponent chooses the upstream for each attempt and bounds the retries of
 // each service.
-type placementPart struct {
+type placementComponent struct {
 	node *Node
 	// started is when the node started, by Instant.Monotonic.
 	started time.Duration
@@ -36,8 +36,8 @@
 // servers that it discovers as warm.
 const startupGrace = 5 * time.Second
 
-func newPlacementPart(n *Node) *placementPart {
-	return &placementPart{
+func newPlacementComponent(n *Node) *placementComponent {
+	return &placementComponent{
 		node:      n,
 		started:   n.now.Monotonic,
 		pools:     make(map[coltsfootward.ServiceName]*servicePool),
@@ -45,7 +45,7 @@
 	}
 }
 
-func (p *placementPart) poolFor(name coltsfootward.ServiceName) *servicePool {
+func (p *placementComponent) poolFor(name coltsfootward.ServiceName) *servicePool {
 	s, ok := p.pools[name]
 	if !ok {
 		s = &servicePool{pool: placement.NewPool(p.node.options.Self, p.reachable)}
@@ -56,14 +56,14 @@
 
 // reachable reports whether the backend servers of a failure domain may be sent
 // requests.
-func (p *placementPart) reachable(domain coltsfootward.FailureDomain) bool {
+func (p *placementComponent) reachable(domain coltsfootward.FailureDomain) bool {
 	return !p.node.domains.current.Has(domain) && p.node.membership.machine.Reachable(domain)
 }
 
-// changed processes a change of a member. A backend server that is new, or
+// memberChanged processes a change of a member. A backend server that is new, or
 // whose node has restarted, starts cold. A node that has just started discovers
 // all members for the first time, which does not make the others cold.
-func (p *placementPart) changed(old, news message.News) {
+func (p *placementComponent) memberChanged(old, news message.MemberUpdate) {
 	a, before := news.Announcement, old.Announcement
 	id := a.Instance.ID
 	now := p.node.now.Monotonic
@@ -86,41 +86,41 @@
 	} else {
 		pool.Set(now, a.Instance, a.Slots, restarted || joined)
 	}
-	pool.Suspect(id, news.State == message.MemberSuspected)
+	pool.SetSuspected(id, news.State == message.MemberSuspected)
 }
 
 // choose returns the upstream for the call's next attempt.
-func (p *placementPart) choose(call *entryCall) (coltsfootward.Instance, bool) {
+func (p *placementComponent) choose(call *entryCall) (coltsfootward.Instance, bool) {
 	return p.poolFor(call.head.Service).pool.Choose(p.node.now.Monotonic, p.node.source, call.tried)
 }
 
 // attemptSent records that the call's attempt was sent.
-func (p *placementPart) attemptSent(call *entryCall) {
+func (p *placementComponent) attemptSent(call *entryCall) {
 	call.sentAt = p.node.now.Monotonic
-	p.poolFor(call.head.Service).pool.Sent(call.target)
+	p.poolFor(call.head.Service).pool.AttemptSent(call.target)
 }
 
 // attemptCancelled records that the call's attempt was cancelled; timeout is
 // set if the deadline had passed.
-func (p *placementPart) attemptCancelled(call *entryCall, timeout bool) {
-	outcome := placement.OutcomeLeft
+func (p *placementComponent) attemptCancelled(call *entryCall, timeout bool) {
+	outcome := placement.OutcomeCancelled
 	if timeout {
 		outcome = placement.OutcomeFailed
 	}
 	p.recordEnd(call, outcome)
 }
 
-func (p *placementPart) recordEnd(call *entryCall, outcome placement.Outcome) {
+func (p *placementComponent) recordEnd(call *entryCall, outcome placement.Outcome) {
 	now := p.node.now.Monotonic
-	p.poolFor(call.head.Service).pool.Ended(now, call.target, outcome, now-call.sentAt)
+	p.poolFor(call.head.Service).pool.AttemptEnded(now, call.target, outcome, now-call.sentAt)
 }
 
-func (p *placementPart) attemptEnded(call *entryCall, e AttemptEnded) {
+func (p *placementComponent) attemptEnded(call *entryCall, e AttemptEnded) {
 	now := p.node.now.Monotonic
 	s := p.poolFor(call.head.Service)
 	switch {
 	case e.Kind == AttemptAnswered:
-		s.retries.Succeeded(now)
+		s.retries.RecordSuccess(now)
 		p.recordEnd(call, placement.OutcomeAnswered)
 	case e.Kind == AttemptRefused && e.Refusal.Execution == coltsfootward.ExecutionNotRun:
 		p.recordEnd(call, placement.OutcomeRefused)
@@ -128,71 +128,71 @@
 		p.recordEnd(call, placement.OutcomeFailed)
 	}
 	if e.Kind == AttemptAnswered || e.Kind == AttemptRefused {
-		s.pool.Observe(now, call.target, kindOf(call), e.Load)
+		s.pool.ObserveLoad(now, call.target, kindOf(call), e.Load)
 		p.reportPressure(call, e.Load)
 	}
 }
 
 // reportPressure passes the load of the services that the request needed, as
 // reported with the response, to the admission gates.
-func (p *placementPart) reportPressure(call *entryCall, load message.Load) {
+func (p *placementComponent) reportPressure(call *entryCall, load message.Load) {
 	if call.head.Route == "" {
 		return
 	}
-	reported := []pressure.Reported{{Service: call.head.Service, Excess: load.Excess, Cost: load.Cost, Cold: load.Cold > 0}}
-	for _, below := range load.Below {
-		reported = append(reported, pressure.Reported{Service: below.Service, Excess: below.Excess, Cost: below.Cost})
+	reported := []pressure.Report{{Service: call.head.Service, Excess: load.Excess, Cost: load.Cost, Cold: load.Cold > 0}}
+	for _, below := range load.Downstream {
+		reported = append(reported, pressure.Report{Service: below.Service, Excess: below.Excess, Cost: below.Cost})
 	}
-	p.node.gates.Answered(p.node.now.Monotonic, call.head.Route, reported)
+	p.node.gates.ObserveResponse(p.node.now.Monotonic, call.head.Route, reported)
 }
 
-func kindOf(call *entryCall) placement.Kind {
-	return placement.Kind{Organisation: call.head.Organisation, Class: classOf(call.head)}
+func kindOf(call *entryCall) placement.RequestKind {
+	return placement.RequestKind{Organisation: call.head.Organisation, Class: classOf(call.head)}
 }
 
 // takeRetry reports whether the service's retry allowance permits one more
 // attempt, and counts the attempt if so.
-func (p *placementPart) takeRetry(service coltsfootward.ServiceName) bool {
+func (p *placementComponent) takeRetry(service coltsfootward.ServiceName) bool {
 	return p.poolFor(service).retries.Take(p.node.now.Monotonic)
 }
 
 // countRequest counts the first attempt of a routed request, from which the
 // retry budget is derived.
-func (p *placementPart) countRequest(call *entryCall) {
+func (p *placementComponent) countRequest(call *entryCall) {
 	s := p.poolFor(call.head.Service)
 	s.budget.Share = p.node.options.RetryShare
-	s.budget.Saved = p.node.options.RetryCapacity / float64(max(p.node.membership.machine.Size(), 1))
-	s.budget.Requested(p.node.now.Monotonic, call.head.Repeat)
+	s.budget.Burst = p.node.options.RetryCapacity / float64(max(p.node.membership.machine.Size(), 1))
+	s.budget.RecordRequest(p.node.now.Monotonic, call.head.Retry)
 }
 
 // takeRoutedRetry reports whether the retry budget permits another attempt of a
 // routed request, and counts the attempt if so.
-func (p *placementPart) takeRoutedRetry(call *entryCall) bool {
+func (p *placementComponent) takeRoutedRetry(call *entryCall) bool {
 	return p.poolFor(call.head.Service).budget.Take(p.node.now.Monotonic, p.retryKind(call))
 }
 
-func (p *placementPart) retryKind(call *entryCall) retry.Kind {
+func (p *placementComponent) retryKind(call *entryCall) retry.RequestKind {
 	nonLeaf := p.node.gates.Needs(call.head.Route) > 1
 	switch {
 	case call.head.Depth == 0 && !nonLeaf:
 		return retry.KindCaller
 	case call.head.Depth == 0:
-		return retry.KindCallerAbove
+		return retry.KindCallerNonLeaf
 	case !nonLeaf:
 		return retry.KindCall
 	default:
-		return retry.KindCallAbove
+		return retry.KindCallNonLeaf
 	}
 }
 
 // seenServer returns a backend server that has seen the call and rejected it.
-func (p *placementPart) seenServer(call *entryCall) (coltsfootward.Instance, bool) {
+func (p *placementComponent) seenServer(call *entryCall) (coltsfootward.Instance, bool) {
 	return p.poolFor(call.head.Service).pool.Instance(call.seenBy[0])
 }
 
 // sheds reports whether every upstream of the service sheds the call, and
 // records the time if so.
-func (p *placementPart) sheds(call *entryCall) bool {
+func (p *placementComponent) sheds(call *entryCall) bool {
 	now := p.node.now.Monotonic
 	s := p.poolFor(call.head.Service)
 	if !s.pool.Sheds(now, kindOf(call), call.head.ShedRank) {
@@ -207,17 +207,17 @@
 
 // shedDuration returns how long the node has been shedding the service's
 // requests.
-func (p *placementPart) shedDuration(service coltsfootward.ServiceName) time.Duration {
+func (p *placementComponent) shedDuration(service coltsfootward.ServiceName) time.Duration {
 	return p.node.now.Monotonic - p.poolFor(service).shedSince
 }
 
-func (p *placementPart) load(id coltsfootward.InstanceID) message.Load {
+func (p *placementComponent) load(id coltsfootward.InstanceID) message.Load {
 	return p.poolFor(p.serviceOf[id]).pool.Load(id)
 }
 
-func (p *placementPart) peerLost(id coltsfootward.InstanceID) {
+func (p *placementComponent) peerLost(id coltsfootward.InstanceID) {
 	if service, ok := p.serviceOf[id]; ok {
-		p.poolFor(service).pool.Lost(id)
+		p.poolFor(service).pool.ConnectionLost(id)
 	}
 }
 
@@ -230,20 +230,20 @@
 // as after a power failure that hits all of them. The requests admitted are
 // those that the warm servers have capacity for and the few that cold ones can
 // handle; the rest is refused before any work is done for it.
-func (p *placementPart) withholdForCold() {
+func (p *placementComponent) withholdForCold() {
 	for name, s := range p.pools {
 		service, _ := p.node.configuration.current.Service(name)
-		s.pool.BoundCold(service.ColdRate > 0)
+		s.pool.SetColdLimited(service.ColdRate > 0)
 		withheld, _ := p.coldShortfall(s)
-		p.node.gates.Withhold(name, withheld)
+		p.node.gates.SetMinRefused(name, withheld)
 	}
 }
 
 // coldShortfall returns the fraction of the demand for a service that is
 // withheld because its servers are cold, and the time until all of them are
 // warm.
-func (p *placementPart) coldShortfall(s *servicePool) (fraction float64, wait time.Duration) {
-	warm, wait := s.pool.Warmth(p.node.now.Monotonic)
+func (p *placementComponent) coldShortfall(s *servicePool) (fraction float64, wait time.Duration) {
+	warm, wait := s.pool.WarmShare(p.node.now.Monotonic)
 	if wait == 0 || coldAdmitFactor*warm >= 1 {
 		return 0, 0
 	}
@@ -252,7 +252,7 @@
 
 // coldRetryAfter returns how much longer a service refuses requests because its
 // servers are cold; zero if it does not.
-func (p *placementPart) coldRetryAfter(service coltsfootward.ServiceName) time.Duration {
+func (p *placementComponent) coldRetryAfter(service coltsfootward.ServiceName) time.Duration {
 	_, wait := p.coldShortfall(p.poolFor(service))
 	return wait
 }
--- a/core/node/rate.go
+++ b/core/node/rate.go
@@ -23,7 +23,7 @@
 	// does not expire.
 	expires time.Duration
 	// token is the token that the attempt spends.
-	token rate.Chunk
+	token rate.Batch
 }
 
 // remaining returns how long the admission is still valid; zero means without
@@ -38,9 +38,9 @@
 // account is the rate limiting state of one organisation at this node.
 type account struct {
 	name   coltsfootward.OrganisationName
-	whole  coltsfootward.Rate
-	share  rate.Share
-	purse  rate.Purse
+	limit  coltsfootward.Rate
+	share  rate.DivisionTracker
+	purse  rate.TokenCache
 	demand rate.Demand
 	// creationSeen is set if the organisation was created while this node was
 	// running.
@@ -52,7 +52,7 @@
 	// current division.
 	tokenLifetime time.Duration
 	// parts holds the last reported state of each part of the division.
-	parts []partView
+	parts []partState
 	// waiters are the requests that wait for a token, in the order of their
 	// arrival.
 	waiters []tokenWaiter
@@ -63,10 +63,10 @@
 	nextPrefetch time.Duration
 }
 
-// ratePart enforces each organisation's rate and burst over all nodes together.
+// rateComponent enforces each organisation's rate and burst over all nodes together.
 // It draws tokens from the slot holders and spends them, and it grants tokens
 // for the slots that this node holds.
-type ratePart struct {
+type rateComponent struct {
 	node         *Node
 	revision     coltsfootward.Revision
 	accounts     map[coltsfootward.OrganisationName]*account
@@ -75,8 +75,8 @@
 	lastDrawID   uint64
 }
 
-func newRatePart(n *Node) *ratePart {
-	return &ratePart{
+func newRateComponent(n *Node) *rateComponent {
+	return &rateComponent{
 		node:         n,
 		accounts:     make(map[coltsfootward.OrganisationName]*account),
 		buckets:      make(map[bucketID]*heldBucket),
@@ -86,14 +86,14 @@
 
 // acquire requests a token for the waiter. The waiter is notified of the
 // outcome, during this call or later.
-func (p *ratePart) acquire(w tokenWaiter) {
+func (p *rateComponent) acquire(w tokenWaiter) {
 	p.refresh()
 	a, ok := p.accounts[w.organisation()]
 	if !ok {
 		w.overRate(0, nil)
 		return
 	}
-	a.demand.Note(p.node.now)
+	a.demand.RecordRequest(p.node.now)
 	a.waiters = append(a.waiters, w)
 	p.serveWaiters(a)
 	p.drawForWaiters(a)
@@ -101,10 +101,10 @@
 }
 
 // serveWaiters hands the available tokens to the waiters in order.
-func (p *ratePart) serveWaiters(a *account) {
+func (p *rateComponent) serveWaiters(a *account) {
 	for len(a.waiters) > 0 {
 		w := a.waiters[0]
-		if !w.waits() {
+		if !w.stillWaiting() {
 			a.waiters = a.waiters[1:]
 			continue
 		}
@@ -118,12 +118,12 @@
 }
 
 // refuseWaiters refuses all waiters; it is called when no part has a token.
-func (p *ratePart) refuseWaiters(a *account) {
+func (p *rateComponent) refuseWaiters(a *account) {
 	waiting := a.waiters
 	a.waiters = nil
 	evidence := p.evidence(a)
 	for _, w := range waiting {
-		if w.waits() {
+		if w.stillWaiting() {
 			w.overRate(p.retryAfter(a), evidence)
 		}
 	}
@@ -131,7 +131,7 @@
 
 // retryAfter returns the time until the first part has a token again, plus a
 // random delay, so that callers refused together do not return together.
-func (p *ratePart) retryAfter(a *account) time.Duration {
+func (p *rateComponent) retryAfter(a *account) time.Duration {
 	first := time.Duration(-1)
 	for _, view := range a.parts {
 		wait := max(view.emptyUntil-p.node.now.Monotonic, 0)
@@ -149,7 +149,7 @@
 // The token is not returned to the holder's bucket. That bucket may have been
 // full in the meantime and have refilled the token's room already; after a
 // further draw the returned token would exceed the bucket's depth.
-func (p *ratePart) release(organisation coltsfootward.OrganisationName, unspent admission) {
+func (p *rateComponent) release(organisation coltsfootward.OrganisationName, unspent admission) {
 	a, ok := p.accounts[organisation]
 	if !ok || unspent.token.Tokens == 0 || unspent.expires <= p.node.now.Expiry {
 		return
@@ -157,14 +157,14 @@
 	a.purse.Add(unspent.token)
 }
 
-func (p *ratePart) tick() {
+func (p *rateComponent) tick() {
 	p.refresh()
 	p.expireDraws()
 }
 
 // applyChanges processes the changes one by one. A change that lowers a part,
 // followed by one that raises it again, would otherwise go unnoticed.
-func (p *ratePart) applyChanges(changes []coltsfootward.Change) {
+func (p *rateComponent) applyChanges(changes []coltsfootward.Change) {
 	if p.revision == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 
 // refresh applies a configuration that did not arrive as changes: the first one
 // after the start, or a full one.
-func (p *ratePart) refresh() {
+func (p *rateComponent) refresh() {
 	configuration := p.node.configuration.current
 	if configuration.Revision() == p.revision {
 		return
@@ -190,13 +190,13 @@
 	}
 }
 
-func (p *ratePart) updateAccount(o coltsfootward.Organisation, created bool) {
+func (p *rateComponent) updateAccount(o coltsfootward.Organisation, created bool) {
 	a, ok := p.accounts[o.Name]
 	if !ok {
 		a = &account{name: o.Name, creationSeen: created, firstSeen: p.node.now.Monotonic}
 		p.accounts[o.Name] = a
 	}
-	if !ok || a.whole != o.Rate {
+	if !ok || a.limit != o.Rate {
 		p.setLimit(a, o.Rate)
 	}
 }
@@ -204,17 +204,17 @@
 // raiseDelay returns the delay between the lowering of some parts and the
 // raising of others. After it, every holder has lowered its part, and the
 // tokens granted before are spent or expired.
-func (p *ratePart) raiseDelay() time.Duration {
-	return p.node.options.ConfigurationSpread + rate.MaximumLife
+func (p *rateComponent) raiseDelay() time.Duration {
+	return p.node.options.ConfigurationSpread + rate.MaximumLifetime
 }
 
-func (p *ratePart) setLimit(a *account, whole coltsfootward.Rate) {
-	a.whole = whole
+func (p *rateComponent) setLimit(a *account, whole coltsfootward.Rate) {
+	a.limit = whole
 	division := rate.Divide(a.name, whole, p.node.options.Domains, p.node.options.Slots)
 	a.share.Change(p.node.now, division, p.raiseDelay())
-	a.parts = make([]partView, len(division))
-	a.tokenLifetime = rate.MaximumLife
+	a.parts = make([]partState, len(division))
+	a.tokenLifetime = rate.MaximumLifetime
 	for _, part := range division {
-		a.tokenLifetime = min(a.tokenLifetime, part.Shape().Life)
+		a.tokenLifetime = min(a.tokenLifetime, part.BucketParameters().Lifetime)
 	}
 }
--- a/core/node/renewal.go
+++ b/core/node/renewal.go
@@ -21,13 +21,13 @@
 // of its first one. The call keeps its slot meanwhile: a draw takes one round
 // trip at most, and if the slot went to the next call, that one would have to
 // wait in turn.
-func (p *upstreamPart) renew(call *upstreamCall) {
+func (p *upstreamComponent) renew(call *upstreamCall) {
 	call.renewing = true
 	p.node.rate.acquire(upstreamWaiter{component: p, call: call})
 }
 
 // admissionRenewed dispatches a call with its new admission.
-func (p *upstreamPart) admissionRenewed(call *upstreamCall, granted admission) {
+func (p *upstreamComponent) admissionRenewed(call *upstreamCall, granted admission) {
 	call.renewing = false
 	call.startBy = granted.expires
 	if r := p.checkDeadlines(call); r != nil {
@@ -38,7 +38,7 @@
 }
 
 // renewalRefused refuses a call that the organisation's rate no longer allows.
-func (p *upstreamPart) renewalRefused(call *upstreamCall, retryAfter time.Duration) {
+func (p *upstreamComponent) renewalRefused(call *upstreamCall, retryAfter time.Duration) {
 	call.renewing = false
 	p.refuseUnstarted(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverRate,
 		"the organisation was above its rate and burst when the request's turn came").WithRetryAfter(retryAfter))
@@ -46,8 +46,8 @@
 
 // refuseUnstarted refuses a call that held a slot but was not dispatched, and
 // frees the slot.
-func (p *upstreamPart) refuseUnstarted(call *upstreamCall, r coltsfootward.Refusal) {
+func (p *upstreamComponent) refuseUnstarted(call *upstreamCall, r coltsfootward.Refusal) {
 	p.admission.Unsent(admissioncontrol.RequestID(call.id))
 	p.refuse(call, r)
-	p.start()
+	p.dispatchQueued()
 }
--- a/core/node/restore.go
+++ b/core/node/restore.go
@@ -47,7 +47,7 @@
 // may make further changes. An object may therefore be newer than the revision.
 // The changes after the revision are applied next, and a change that is older
 // than its object is ignored.
-func (p *configurationPart) restore() {
+func (p *configurationComponent) restore() {
 	p.scanning = true
 	p.node.table.read(RevisionKey, func(row coltsfootward.Row, err error) {
 		p.scanning = false
@@ -59,7 +59,7 @@
 	})
 }
 
-func (p *configurationPart) restorePage(revision coltsfootward.Revision, gathered coltsfootward.Configuration, after string) {
+func (p *configurationComponent) restorePage(revision coltsfootward.Revision, gathered coltsfootward.Configuration, after string) {
 	p.scanning = true
 	p.node.table.scan(ObjectPrefix, after, scanLimit, func(rows []coltsfootward.Row, err error) {
 		p.scanning = false
--- a/core/node/slots.go
+++ b/core/node/slots.go
@@ -49,7 +49,7 @@
 // slotOf returns the slot of a key; all nodes compute the same one. The slot is
 // in the failure domain that the key names, or else in one chosen by the key's
 // hash.
-func (p *claimsPart) slotOf(key claim.Key) slotID {
+func (p *claimsComponent) slotOf(key claim.Key) slotID {
 	hash := xxhash.Sum64String(string(key.Organisation) + "\x00" + key.Text)
 	domains := p.node.options.Domains
 	if len(domains) == 0 {
@@ -97,7 +97,7 @@
 	if !ok || !slot.Held(l.node.now) {
 		return slotTerm{}, false
 	}
-	return slotTerm{epoch: slot.Epoch(), began: slot.Began(), first: slot.First()}, true
+	return slotTerm{epoch: slot.Epoch(), began: slot.Began(), first: slot.UnusedBefore()}, true
 }
 
 func (l leasedSlots) takeReleased() []releasedSlot { return l.node.lease.takeReleased() }
--- a/core/node/snapshot.go
+++ b/core/node/snapshot.go
@@ -42,7 +42,7 @@
 
 // servePage sends the requested page of a snapshot. If that snapshot is no
 // longer available, it sends the first page of the current one.
-func (p *configurationPart) servePage(to coltsfootward.InstanceID, m message.ConfigurationPull) {
+func (p *configurationComponent) servePage(to coltsfootward.InstanceID, m message.ConfigurationPull) {
 	page := m.Page
 	if m.Snapshot == 0 || m.Snapshot != p.served.revision || page < 0 || page >= len(p.served.pages) {
 		page = 0
@@ -96,7 +96,7 @@
 // pageReceived adds a page of a peer's snapshot. The configuration is installed
 // once all pages of one revision have arrived in order, provided that it is
 // newer than the one in force.
-func (p *configurationPart) pageReceived(from coltsfootward.InstanceID, m message.ConfigurationPage) {
+func (p *configurationComponent) pageReceived(from coltsfootward.InstanceID, m message.ConfigurationPage) {
 	if m.Revision <= p.current.Revision() {
 		return
 	}
@@ -120,7 +120,7 @@
 	p.pages = pageCollector{}
 }
 
-func (p *configurationPart) install(c coltsfootward.Configuration) {
+func (p *configurationComponent) install(c coltsfootward.Configuration) {
 	p.current = c
 	p.history = nil
 	p.node.report(record.SnapshotInForce, field("revision", c.Revision().String()))
--- a/core/node/table.go
+++ b/core/node/table.go
@@ -7,27 +7,27 @@
 	"coltsfootward/core/record"
 )
 
-// tablePart numbers the operations on the platform's table and passes each
+// tableComponent numbers the operations on the platform's table and passes each
 // answer to the component that started the operation.
-type tablePart struct {
+type tableComponent struct {
 	node          *Node
 	lastOperation OperationID
-	pending       map[OperationID]func(TableAnswered)
+	pending       map[OperationID]func(TableResult)
 	unavailable   bool
 }
 
-func newTablePart(n *Node) *tablePart {
-	return &tablePart{node: n, pending: make(map[OperationID]func(TableAnswered))}
+func newTableComponent(n *Node) *tableComponent {
+	return &tableComponent{node: n, pending: make(map[OperationID]func(TableResult))}
 }
 
-func (p *tablePart) operation(done func(TableAnswered)) OperationID {
+func (p *tableComponent) operation(done func(TableResult)) OperationID {
 	p.lastOperation++
 	p.pending[p.lastOperation] = done
 	return p.lastOperation
 }
 
-func (p *tablePart) read(key string, done func(coltsfootward.Row, error)) {
-	id := p.operation(func(e TableAnswered) {
+func (p *tableComponent) read(key string, done func(coltsfootward.Row, error)) {
+	id := p.operation(func(e TableResult) {
 		row := coltsfootward.Row{Key: key}
 		if len(e.Rows) > 0 {
 			row = e.Rows[0]
@@ -37,17 +37,17 @@
 	p.node.act(ReadTable{Operation: id, Key: key})
 }
 
-func (p *tablePart) scan(prefix, after string, limit int, done func([]coltsfootward.Row, error)) {
-	id := p.operation(func(e TableAnswered) { done(e.Rows, e.Err) })
+func (p *tableComponent) scan(prefix, after string, limit int, done func([]coltsfootward.Row, error)) {
+	id := p.operation(func(e TableResult) { done(e.Rows, e.Err) })
 	p.node.act(ScanTable{Operation: id, Prefix: prefix, After: after, Limit: limit})
 }
 
-func (p *tablePart) transact(t coltsfootward.Transaction, done func(error)) {
-	id := p.operation(func(e TableAnswered) { done(e.Err) })
+func (p *tableComponent) transact(t coltsfootward.Transaction, done func(error)) {
+	id := p.operation(func(e TableResult) { done(e.Err) })
 	p.node.act(TransactTable{Operation: id, Transaction: t})
 }
 
-func (p *tablePart) operationAnswered(e TableAnswered) {
+func (p *tableComponent) operationAnswered(e TableResult) {
 	done, ok := p.pending[e.Operation]
 	if !ok {
 		return
@@ -59,7 +59,7 @@
 
 // noteAvailability reports when the platform becomes unavailable and when it is
 // available again.
-func (p *tablePart) noteAvailability(err error) {
+func (p *tableComponent) noteAvailability(err error) {
 	unavailable := errors.Is(err, coltsfootward.ErrUnavailable)
 	if unavailable == p.unavailable {
 		return
--- a/core/node/tick_test.go
+++ b/core/node/tick_test.go
@@ -11,15 +11,15 @@
 
 // Guards against an idle node that wakes up a hundred times a second.
 func TestIdleNodeTicksSeldom(t *testing.T) {
-	s := newRoutedSingle(t)
+	s := newRoutedTestNode(t)
 	if wait := s.node.NextTick(); wait < 50*time.Millisecond {
 		t.Errorf("got a tick interval of %s when idle, want at most 20 ticks a second", wait)
 	}
-	s.arrive(1, coltsfootward.PriorityNormal)
+	s.sendPeerCall(1, coltsfootward.PriorityNormal)
 	if wait := s.node.NextTick(); wait < 50*time.Millisecond {
 		t.Errorf("got a tick interval of %s with one request in service, want at most 20 ticks a second", wait)
 	}
-	s.arrive(2, coltsfootward.PriorityNormal)
+	s.sendPeerCall(2, coltsfootward.PriorityNormal)
 	if wait := s.node.NextTick(); wait > 10*time.Millisecond {
 		t.Errorf("got a tick interval of %s with a queued request, want at most 10 ms", wait)
 	}
@@ -30,15 +30,15 @@
 	}
 }
 
-// newRoutedSingle returns a node of a routed deployment whose backend server,
+// newRoutedTestNode returns a node of a routed deployment whose backend server,
 // of the service "quotes", has one slot.
-func newRoutedSingle(t *testing.T) *single {
+func newRoutedTestNode(t *testing.T) *testNode {
 	t.Helper()
 	options := node.Options{
 		Self:    coltsfootward.Instance{ID: "north-1", Domain: "north", Address: "127.0.0.1:1", Incarnation: 1},
 		Domains: []coltsfootward.FailureDomain{"north"}, Routed: true,
 	}
-	s := &single{t: t, table: make(rowTable), now: coltsfootward.At(time.Hour)}
+	s := &testNode{t: t, table: make(rowTable), now: coltsfootward.At(time.Hour)}
 	s.node = node.New(options, rand.New(rand.NewPCG(1, 2)), s.now)
 	document := coltsfootward.NewConfiguration(1, nil, nil, nil).WithRoutes([]coltsfootward.Route{{
 		Name: "quotes", Host: "quotes.example", PathPrefix: "/", Timeout: time.Second, Attempts: 1,
--- a/core/node/token_waiter.go
+++ b/core/node/token_waiter.go
@@ -10,22 +10,22 @@
 // tokenWaiter waits for a token of an organisation's rate.
 type tokenWaiter interface {
 	organisation() coltsfootward.OrganisationName
-	// waits reports whether the token is still needed: since the token was
+	// stillWaiting reports whether the token is still needed: since the token was
 	// requested, the caller may have gone away or its deadline may have passed.
-	waits() bool
+	stillWaiting() bool
 	admitted(granted admission)
 	overRate(retryAfter time.Duration, evidence []record.Field)
 }
 
 // entryWaiter waits on behalf of a request on its entry node.
 type entryWaiter struct {
-	component *entryPart
+	component *entryComponent
 	call      *entryCall
 }
 
 func (w entryWaiter) organisation() coltsfootward.OrganisationName { return w.call.head.Organisation }
 
-func (w entryWaiter) waits() bool {
+func (w entryWaiter) stillWaiting() bool {
 	return w.component.calls[w.call.id] == w.call && !w.call.inFlight && !w.call.answered
 }
 
@@ -44,7 +44,7 @@
 // although the backend server has time for them. The first token counts as
 // spent, so the bound on the rate holds.
 type upstreamWaiter struct {
-	component *upstreamPart
+	component *upstreamComponent
 	call      *upstreamCall
 }
 
@@ -52,7 +52,7 @@
 	return w.call.head.Organisation
 }
 
-func (w upstreamWaiter) waits() bool {
+func (w upstreamWaiter) stillWaiting() bool {
 	return w.component.calls[w.call.id] == w.call && w.call.renewing
 }
 
