--- a/core/node/upstream.go
+++ b/core/node/upstream.go
@@ -30,17 +30,17 @@
 	// dispatchedAt is when the call was dispatched, by Instant.Monotonic.
 	dispatchedAt time.Duration
 	// escrow holds the attempts that child calls may still use.
-	escrow *attempt.Escrow
+	escrow *attempt.Budget
 	// childRefused is set once a child call of the request was refused;
 	// childRetryAfter is the Retry-After of that refusal.
 	childRefused    bool
 	childRetryAfter time.Duration
 }
 
-// upstreamPart queues and dispatches all requests for the local backend server.
+// upstreamComponent queues and dispatches all requests for the local backend server.
 // Because every request passes through it, the node knows for certain which
 // ones were never started.
-type upstreamPart struct {
+type upstreamComponent struct {
 	node      *Node
 	calls     map[CallID]*upstreamCall
 	admission *admissioncontrol.Controller
@@ -55,8 +55,8 @@
 	nextLimitReport time.Duration
 }
 
-func newUpstreamPart(n *Node) *upstreamPart {
-	p := &upstreamPart{node: n, calls: make(map[CallID]*upstreamCall), admission: admissioncontrol.NewController(0)}
+func newUpstreamComponent(n *Node) *upstreamComponent {
+	p := &upstreamComponent{node: n, calls: make(map[CallID]*upstreamCall), admission: admissioncontrol.NewController(0)}
 	p.cold = coldTracker{node: n, startedAt: n.now.Monotonic}
 	if n.options.Routed {
 		p.admission.FixLimit()
@@ -65,16 +65,16 @@
 	return p
 }
 
-func (p *upstreamPart) count() int { return len(p.calls) }
+func (p *upstreamComponent) count() int { return len(p.calls) }
 
-func (p *upstreamPart) arrived(e PeerCallArrived) {
+func (p *upstreamComponent) arrived(e PeerCallArrived) {
 	now := p.node.now.Expiry
 	call := &upstreamCall{
 		id:        e.Call,
 		head:      e.Head,
 		arrivedAt: now,
 		deadline:  now + e.Head.Timeout - e.Age,
-		escrow:    attempt.NewEscrow(e.Head.Budget),
+		escrow:    attempt.NewBudget(e.Head.Budget),
 	}
 	if e.Head.StartWithin > 0 {
 		call.startBy = now + e.Head.StartWithin - e.Age
@@ -90,16 +90,16 @@
 	}
 	p.cold.refresh()
 	p.admission.Offer(now, p.request(call))
-	p.start()
+	p.dispatchQueued()
 	p.refuseShed()
 }
 
-// start dispatches queued calls while the backend server has capacity.
-func (p *upstreamPart) start() {
+// dispatchQueued dispatches queued calls while the backend server has capacity.
+func (p *upstreamComponent) dispatchQueued() {
 	if p.node.options.Routed && p.node.membership.local.Draining {
 		p.refuseQueued("the backend server takes no new work")
 	}
-	if p.node.domains.ownOut() {
+	if p.node.domains.ownDomainOut() {
 		p.refuseQueued(outOfServiceText)
 	}
 	p.admission.SetSlots(p.node.membership.local.Slots)
@@ -126,21 +126,21 @@
 // domainsChanged processes a change of the failure domains that are out of
 // service. A backend server may have gone cold while its domain received no
 // requests.
-func (p *upstreamPart) domainsChanged(before coltsfootward.OutOfService) {
+func (p *upstreamComponent) domainsChanged(before coltsfootward.OutOfService) {
 	own := p.node.options.Self.Domain
 	if before.Has(own) && !p.node.domains.current.Has(own) {
 		p.cold.assumeCold()
 	}
-	p.start()
+	p.dispatchQueued()
 }
 
 // coldRemaining returns how much longer the rate of requests to the cold
 // backend server is limited.
-func (p *upstreamPart) coldRemaining() time.Duration {
+func (p *upstreamComponent) coldRemaining() time.Duration {
 	if !p.cold.rateLimited() {
 		return 0
 	}
-	return p.cold.left()
+	return p.cold.remaining()
 }
 
 // outOfServiceText is the detail of refusals in a failure domain that is out of
@@ -151,7 +151,7 @@
 // no more requests. If they were dispatched in their turn, they could reach the
 // server long after the end of its work was acknowledged; a call refused now
 // can go to another server.
-func (p *upstreamPart) refuseQueued(detail string) {
+func (p *upstreamComponent) refuseQueued(detail string) {
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
 		if call.token == "" && p.admission.Withdraw(admissioncontrol.RequestID(id)) {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (p *upstreamPart) dispatch(call *upstreamCall) {
+func (p *upstreamComponent) dispatch(call *upstreamCall) {
 	call.token = p.node.newCallToken()
 	p.node.ledger.open(call)
 	call.dispatchedAt = p.node.now.Monotonic
@@ -175,9 +175,9 @@
 	})
 }
 
-func (p *upstreamPart) addInFlight(call *upstreamCall, change int) {
+func (p *upstreamComponent) addInFlight(call *upstreamCall, change int) {
 	p.inFlight += change
-	if call.head.Repeat {
+	if call.head.Retry {
 		p.inFlightRetries += change
 	}
 }
@@ -185,7 +185,7 @@
 // inFlightRetryRatio returns the fraction of the backend server's requests in
 // flight that are retries. Child calls do not name the request that they are
 // made for, so the same fraction of them is assumed to belong to retries.
-func (p *upstreamPart) inFlightRetryRatio() float64 {
+func (p *upstreamComponent) inFlightRetryRatio() float64 {
 	if p.inFlight == 0 {
 		return 0
 	}
@@ -194,7 +194,7 @@
 
 // refuseShed refuses the calls that admission control has shed since it was
 // last asked.
-func (p *upstreamPart) refuseShed() {
+func (p *upstreamComponent) refuseShed() {
 	for _, shed := range p.admission.Refused() {
 		text := "more important requests fill the backend server's queue"
 		switch shed.Reason {
@@ -208,7 +208,7 @@
 			text = "the backend server is busy for longer than the request's admission lasts"
 		}
 		r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, text).
-			WithRetryAfter(p.node.spread(p.admission.ReturnAfter(p.node.now.Expiry)))
+			WithRetryAfter(p.node.jitter(p.admission.RetryAfter(p.node.now.Expiry)))
 		if shed.Reason == admissioncontrol.ReasonCold {
 			r = p.cold.withRetryAfter(r)
 		}
@@ -217,10 +217,10 @@
 }
 
 // tick refuses calls that have waited too long.
-func (p *upstreamPart) tick() {
+func (p *upstreamComponent) tick() {
 	p.admission.Tick(p.node.now.Expiry)
 	if p.admission.Queued() > 0 {
-		p.start()
+		p.dispatchQueued()
 	}
 	p.observeLoad()
 	p.node.throttle.Observe(p.node.now.Monotonic, p.node.meter.Ratio(p.admission.Limit()))
--- a/core/node/upstream_end.go
+++ b/core/node/upstream_end.go
@@ -6,7 +6,7 @@
 	"coltsfootward/core/record"
 )
 
-func (p *upstreamPart) ended(e DispatchEnded) {
+func (p *upstreamComponent) dispatchEnded(e DispatchEnded) {
 	call, ok := p.calls[e.Call]
 	if !ok {
 		return
@@ -16,7 +16,7 @@
 	p.node.ledger.close(call)
 	p.addInFlight(call, -1)
 	if call.head.Route != "" {
-		p.node.callees.Ended(p.node.now.Monotonic, call.dispatchedAt, call.head.Route, e.Failed)
+		p.node.callees.RequestEnded(p.node.now.Monotonic, call.dispatchedAt, call.head.Route, e.Failed)
 	}
 	if e.Kind == DispatchUnsent {
 		p.admission.Unsent(admissioncontrol.RequestID(call.id))
@@ -36,25 +36,25 @@
 			WithExecution(coltsfootward.ExecutionUnknown))
 	case DispatchAnswered:
 		delete(p.calls, call.id)
-		p.node.act(EndAnswer{Call: call.id, Load: p.load(call.head), Attempts: call.escrow.Used(), Needed: call.escrow.Needed()})
+		p.node.act(EndResponse{Call: call.id, Load: p.load(call.head), Attempts: call.escrow.Used(), Needed: call.escrow.Needed()})
 	default:
 		delete(p.calls, call.id)
 	}
-	p.start()
+	p.dispatchQueued()
 	p.refuseShed()
 }
 
 // refuseRejected answers a call that the backend server reported not to have
 // run. The server has seen it, so it counts as an attempt.
-func (p *upstreamPart) refuseRejected(call *upstreamCall) {
+func (p *upstreamComponent) refuseRejected(call *upstreamCall) {
 	delete(p.calls, call.id)
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "the backend server rejected the request without running it").
-		WithRetryAfter(p.node.spread(p.admission.ReturnAfter(p.node.now.Expiry)))
+		WithRetryAfter(p.node.jitter(p.admission.RetryAfter(p.node.now.Expiry)))
 	p.sendRefusal(call, r, 1)
 }
 
 // sendRefusal sends a call's refusal to the peer and logs it.
-func (p *upstreamPart) sendRefusal(call *upstreamCall, r coltsfootward.Refusal, attempts int) {
+func (p *upstreamComponent) sendRefusal(call *upstreamCall, r coltsfootward.Refusal, attempts int) {
 	p.node.report(record.CallRefused, append(refusalFields(call.head.Request, r), p.evidence(call)...)...)
 	p.node.act(Refuse{Call: call.id, Refusal: r, Load: p.load(call.head), Attempts: attempts})
 }
@@ -67,7 +67,7 @@
 // often as is allowed. If each layer above did the same, attempts would
 // multiply with the depth of the chain just when the deepest service is
 // overloaded.
-func (p *upstreamPart) failureRefusal(call *upstreamCall) coltsfootward.Refusal {
+func (p *upstreamComponent) failureRefusal(call *upstreamCall) coltsfootward.Refusal {
 	r := coltsfootward.NewRefusal(coltsfootward.RefusalUpstreamFailed, "the backend server broke off").
 		WithExecution(coltsfootward.ExecutionUnknown)
 	if call.childRefused {
@@ -78,17 +78,17 @@
 
 // childRefused records that a child call of the request was refused and will
 // not be retried.
-func (p *upstreamPart) childRefused(token CallToken, r coltsfootward.Refusal) {
+func (p *upstreamComponent) childRefused(token CallToken, r coltsfootward.Refusal) {
 	if call, ok := p.node.ledger.parent(token); ok {
 		call.childRefused = true
 		call.childRetryAfter = r.RetryAfter
 		if r.Kind == coltsfootward.RefusalOverloaded {
-			p.admission.RefusedBelow(admissioncontrol.RequestID(call.id))
+			p.admission.ChildRefused(admissioncontrol.RequestID(call.id))
 		}
 	}
 }
 
-func (p *upstreamPart) callerLeft(id CallID) {
+func (p *upstreamComponent) callerLeft(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
 		return
@@ -100,12 +100,12 @@
 	p.admission.Withdraw(admissioncontrol.RequestID(id))
 	p.admission.Unsent(admissioncontrol.RequestID(id))
 	p.refuse(call, coltsfootward.NewRefusal(coltsfootward.RefusalCancelled, "the caller left before the request started"))
-	p.start()
+	p.dispatchQueued()
 }
 
 // refuse answers the peer with a refusal. Its attempt count covers the call and
 // everything below it; the call's own attempt counts only if it may have run.
-func (p *upstreamPart) refuse(call *upstreamCall, r coltsfootward.Refusal) {
+func (p *upstreamComponent) refuse(call *upstreamCall, r coltsfootward.Refusal) {
 	delete(p.calls, call.id)
 	used := 0
 	if r.Execution != coltsfootward.ExecutionNotRun {
--- a/core/node/upstream_load.go
+++ b/core/node/upstream_load.go
@@ -10,11 +10,11 @@
 // observeLoad records the backend server's load since the last observation. It
 // is called before each change of the load, so the interval between two
 // observations does not matter.
-func (p *upstreamPart) observeLoad() {
+func (p *upstreamComponent) observeLoad() {
 	p.node.meter.Observe(p.node.now.Monotonic, p.admission.Running(), p.admission.Backlog())
 }
 
-func (p *upstreamPart) reportOverload() {
+func (p *upstreamComponent) reportOverload() {
 	overloaded := p.admission.Overloaded(p.node.now.Expiry)
 	if overloaded == p.overloaded {
 		return
@@ -30,7 +30,7 @@
 // reportLimit reports changes of the concurrency limit, at most once a second.
 // The first limit is not reported, because it is the one that the backend
 // server announced and that has been reported as such.
-func (p *upstreamPart) reportLimit() {
+func (p *upstreamComponent) reportLimit() {
 	limit, now := p.admission.Limit(), p.node.now.Monotonic
 	if limit == p.reportedLimit || now < p.nextLimitReport {
 		return
@@ -46,7 +46,7 @@
 
 // load returns the load report that is sent with the response to a request with
 // the given head.
-func (p *upstreamPart) load(head message.Call) message.Load {
+func (p *upstreamComponent) load(head message.Call) message.Load {
 	if head.Route != "" {
 		return p.routedLoad(head)
 	}
@@ -62,7 +62,7 @@
 // upstream, and the fraction of the demand that entry nodes are to refuse, for
 // this service and for the services that such requests need further down the
 // call chain.
-func (p *upstreamPart) routedLoad(head message.Call) message.Load {
+func (p *upstreamComponent) routedLoad(head message.Call) message.Load {
 	load := message.Load{
 		Running: p.admission.Running(),
 		Queued:  p.admission.Queued(),
@@ -71,8 +71,8 @@
 		Excess:  p.node.throttle.Excess(),
 		Cost:    p.admission.Estimate(classOf(head)).Seconds(),
 	}
-	for _, r := range p.node.gates.Below(p.node.now.Monotonic, p.node.callees.Of(p.node.now.Monotonic, head.Route)) {
-		load.Below = append(load.Below, message.Pressure{Service: r.Service, Excess: r.Excess, Cost: r.Cost})
+	for _, r := range p.node.gates.ReportsFor(p.node.now.Monotonic, p.node.callees.Of(p.node.now.Monotonic, head.Route)) {
+		load.Downstream = append(load.Downstream, message.Pressure{Service: r.Service, Excess: r.Excess, Cost: r.Cost})
 	}
 	return load
 }
--- a/core/node/upstream_queue.go
+++ b/core/node/upstream_queue.go
@@ -10,7 +10,7 @@
 )
 
 // request converts the call to a request for admission control.
-func (p *upstreamPart) request(call *upstreamCall) admissioncontrol.Request {
+func (p *upstreamComponent) request(call *upstreamCall) admissioncontrol.Request {
 	organisation, _ := p.node.configuration.current.Organisation(call.head.Organisation)
 	return admissioncontrol.Request{
 		ID:           admissioncontrol.RequestID(call.id),
@@ -31,8 +31,8 @@
 // queue. Without a secondary priority only every fourth value is used.
 func queuePriority(head message.Call) int {
 	second := 0
-	if head.Second != "" {
-		second = head.Second.Rank()
+	if head.SecondaryPriority != "" {
+		second = head.SecondaryPriority.Rank()
 	}
 	return head.Priority.Rank()*len(coltsfootward.Priorities()) + second
 }
@@ -62,7 +62,7 @@
 }
 
 // check refuses calls that cannot be served on this node at all.
-func (p *upstreamPart) check(call *upstreamCall) *coltsfootward.Refusal {
+func (p *upstreamComponent) check(call *upstreamCall) *coltsfootward.Refusal {
 	local := p.node.membership.local
 	if local.Service == "" || local.Service != call.head.Service {
 		return refusal(coltsfootward.RefusalNoUpstream, fmt.Sprintf("no backend server of %q runs here", call.head.Service))
@@ -70,7 +70,7 @@
 	if local.Draining || p.node.draining {
 		return refusal(coltsfootward.RefusalDraining, "the backend server takes no new work")
 	}
-	if p.node.domains.ownOut() {
+	if p.node.domains.ownDomainOut() {
 		return refusal(coltsfootward.RefusalDraining, outOfServiceText)
 	}
 	if call.head.Budget < 1 {
@@ -79,7 +79,7 @@
 	return p.checkDeadlines(call)
 }
 
-func (p *upstreamPart) checkDeadlines(call *upstreamCall) *coltsfootward.Refusal {
+func (p *upstreamComponent) checkDeadlines(call *upstreamCall) *coltsfootward.Refusal {
 	now := p.node.now.Expiry
 	if now >= call.deadline {
 		return refusal(coltsfootward.RefusalTimeout, "the caller's time ran out before the request started")
--- a/core/nodetest/evidence_test.go
+++ b/core/nodetest/evidence_test.go
@@ -113,8 +113,8 @@
 	passed, refused := 0, 0
 	for _, m := range members {
 		cold := m.Node().Cold()
-		if cold.Left <= 0 || cold.Left > coldTime {
-			t.Errorf("%s: cold for another %v, want up to %v", m.Instance.ID, cold.Left, coldTime)
+		if cold.Remaining <= 0 || cold.Remaining > coldTime {
+			t.Errorf("%s: cold for another %v, want up to %v", m.Instance.ID, cold.Remaining, coldTime)
 		}
 		passed += cold.Passed
 		refused += cold.Refused
--- a/core/nodetest/link.go
+++ b/core/nodetest/link.go
@@ -29,7 +29,7 @@
 		m.Backend.start(a)
 	case node.Replay:
 		m.replay(a)
-	case node.EndAnswer:
+	case node.EndResponse:
 		m.answered(a)
 	case node.CancelDispatch:
 		m.Backend.cancel(a.Call)
@@ -171,7 +171,7 @@
 }
 
 // answered carries a whole answer back to the caller.
-func (m *Member) answered(a node.EndAnswer) {
+func (m *Member) answered(a node.EndResponse) {
 	s, ok := m.serving[a.Call]
 	if !ok {
 		return
@@ -181,7 +181,7 @@
 	m.back(s, func() { s.origin.delivered(s, m.Instance.ID, load, a) })
 }
 
-func (m *Member) delivered(s *served, by coltsfootward.InstanceID, load messageLoad, end node.EndAnswer) {
+func (m *Member) delivered(s *served, by coltsfootward.InstanceID, load messageLoad, end node.EndResponse) {
 	e, ok := m.entries[s.call]
 	if !ok || e.attempt != s.attempt || !m.alive {
 		return
@@ -191,7 +191,7 @@
 		return node.AttemptEnded{Call: s.call, Kind: node.AttemptAnswered, Load: load, Status: s.status}
 	})
 	m.event(func() node.Event {
-		return node.CallDone{Call: s.call, Attempts: end.Attempts, Needed: end.Needed, Whole: true,
+		return node.CallDone{Call: s.call, Attempts: end.Attempts, Needed: end.Needed, Complete: true,
 			Answer: &claim.Answer{Status: s.status, Body: []byte(by)}}
 	})
 	m.endOutcome(e.outcome, func(o *Outcome) {
--- a/core/nodetest/routed_test.go
+++ b/core/nodetest/routed_test.go
@@ -195,8 +195,8 @@
 	}
 	runs := members[2].Backend.Runs
 	first, second := runs[len(runs)-2], runs[len(runs)-1]
-	if first.Head.Repeat || !second.Head.Repeat {
-		t.Errorf("calls marked as repeats: %v and %v, want the second one alone", first.Head.Repeat, second.Head.Repeat)
+	if first.Head.Retry || !second.Head.Retry {
+		t.Errorf("calls marked as repeats: %v and %v, want the second one alone", first.Head.Retry, second.Head.Retry)
 	}
 }
 
--- a/core/nodetest/start_test.go
+++ b/core/nodetest/start_test.go
@@ -31,7 +31,7 @@
 		if !m.Alive() || s.away != nil && s.away(m) {
 			continue
 		}
-		switch m.Node().DocumentDuty() {
+		switch m.Node().DocumentTask() {
 		case node.DocumentRead:
 			s.reads++
 			m.Read(s.document)
@@ -119,7 +119,7 @@
 	for r.Now() < back {
 		r.Run(100 * time.Millisecond)
 		for _, m := range members {
-			if duty := m.Node().DocumentDuty(); duty == node.DocumentRead || duty == node.DocumentFollow {
+			if duty := m.Node().DocumentTask(); duty == node.DocumentRead || duty == node.DocumentFollow {
 				asked++
 			}
 		}
--- a/core/nodetest/table.go
+++ b/core/nodetest/table.go
@@ -77,7 +77,7 @@
 		rows, err := t.operate(m.Instance, run)
 		t.rig.After(tableDelay/2, func() {
 			if m.boots == boot {
-				m.event(func() node.Event { return node.TableAnswered{Operation: id, Rows: rows, Err: err} })
+				m.event(func() node.Event { return node.TableResult{Operation: id, Rows: rows, Err: err} })
 			}
 		})
 	})
--- a/core/placement/example_test.go
+++ b/core/placement/example_test.go
@@ -17,7 +17,7 @@
 	pool.Set(0, coltsfootward.Instance{ID: "south-1", Domain: "south"}, 10, false)
 	source := rand.New(rand.NewPCG(1, 1))
 	near, _ := pool.Choose(time.Second, source, nil)
-	pool.Observe(time.Second, "north-1", placement.Kind{Organisation: "traders"}, message.Load{Running: 10, Limit: 10})
+	pool.ObserveLoad(time.Second, "north-1", placement.RequestKind{Organisation: "traders"}, message.Load{Running: 10, Limit: 10})
 	far, _ := pool.Choose(time.Second, source, nil)
 	fmt.Println(near.ID, far.ID)
 	// Output: north-1 south-1
--- a/core/placement/level.go
+++ b/core/placement/level.go
@@ -27,9 +27,9 @@
 	levelLifetime = 2 * time.Second
 )
 
-// Kind identifies the requests that a shed level applies to: those of one class
+// RequestKind identifies the requests that a shed level applies to: those of one class
 // from one organisation.
-type Kind struct {
+type RequestKind struct {
 	Organisation coltsfootward.OrganisationName
 	Class        string
 }
@@ -39,7 +39,7 @@
 // applied at once, one that lowers it only partly, so that the level follows the
 // servers that still have room.
 type shedLevels struct {
-	byKind    map[Kind]shedLevel
+	byKind    map[RequestKind]shedLevel
 	lastSweep time.Duration
 }
 
@@ -55,7 +55,7 @@
 
 // observe applies the shed level reported with a response. Zero means that the
 // server accepts all requests.
-func (l *shedLevels) observe(now time.Duration, kind Kind, rank uint32) {
+func (l *shedLevels) observe(now time.Duration, kind RequestKind, rank uint32) {
 	l.sweep(now)
 	reported := float64(rank)
 	if rank == 0 {
@@ -74,7 +74,7 @@
 		return
 	}
 	if l.byKind == nil {
-		l.byKind = make(map[Kind]shedLevel)
+		l.byKind = make(map[RequestKind]shedLevel)
 	}
 	l.byKind[kind] = shedLevel{rank: reported, reportedAt: now}
 }
@@ -92,7 +92,7 @@
 	}
 }
 
-func (l *shedLevels) sheds(now time.Duration, kind Kind, rank uint32) bool {
+func (l *shedLevels) sheds(now time.Duration, kind RequestKind, rank uint32) bool {
 	level, ok := l.byKind[kind]
 	return ok && float64(rank) > level.effective(now)
 }
--- a/core/placement/pool.go
+++ b/core/placement/pool.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// BoundCold sets whether cold servers have a limited capacity. If they have not, a
+// SetColdLimited sets whether cold servers have a limited capacity. If they have not, a
 // cold server is only slower and starts with a smaller share of the requests.
-func (p *Pool) BoundCold(limited bool) {
+func (p *Pool) SetColdLimited(limited bool) {
 	if p.coldLimited == limited {
 		return
 	}
@@ -100,10 +100,10 @@
 	}
 }
 
-// Warmth returns the share of the reachable servers' slots that are not on cold
+// WarmShare returns the share of the reachable servers' slots that are not on cold
 // servers, and the time until all servers are warm. A cold server counts with
 // the slots of its limited capacity. Without reachable servers both are zero.
-func (p *Pool) Warmth(now time.Duration) (share float64, wait time.Duration) {
+func (p *Pool) WarmShare(now time.Duration) (share float64, wait time.Duration) {
 	var warm, all float64
 	for _, u := range p.upstreams {
 		if !p.reachable(u.domain) {
@@ -134,9 +134,9 @@
 	return u.instance, true
 }
 
-// Suspect sets whether a backend server's node is suspected to have failed. A
+// SetSuspected sets whether a backend server's node is suspected to have failed. A
 // suspected server gets requests only if no other server is available.
-func (p *Pool) Suspect(id coltsfootward.InstanceID, suspected bool) {
+func (p *Pool) SetSuspected(id coltsfootward.InstanceID, suspected bool) {
 	if u, ok := p.upstreams[id]; ok {
 		u.suspected = suspected
 	}
@@ -267,7 +267,7 @@
 func (p *Pool) excludesCold(now time.Duration) bool {
 	if now >= p.nextColdCheck {
 		p.nextColdCheck = now + coldCheckInterval
-		share, _ := p.Warmth(now)
+		share, _ := p.WarmShare(now)
 		p.coldExcluded = share >= minimumWarmShare
 	}
 	return p.coldExcluded
@@ -308,9 +308,9 @@
 	Known, Tried, Ejected, Suspected, Unreachable int
 }
 
-// Census counts the servers of the pool for a request that was sent to those in
+// CountCandidates counts the servers of the pool for a request that was sent to those in
 // tried.
-func (p *Pool) Census(now time.Duration, tried map[coltsfootward.InstanceID]bool) CandidateCounts {
+func (p *Pool) CountCandidates(now time.Duration, tried map[coltsfootward.InstanceID]bool) CandidateCounts {
 	c := CandidateCounts{Known: len(p.upstreams), Tried: len(tried)}
 	for _, u := range p.upstreams {
 		if u.ejected && !u.available(now) {
@@ -326,23 +326,23 @@
 	return c
 }
 
-// Sent records that an attempt was sent to a server.
-func (p *Pool) Sent(id coltsfootward.InstanceID) {
+// AttemptSent records that an attempt was sent to a server.
+func (p *Pool) AttemptSent(id coltsfootward.InstanceID) {
 	if u, ok := p.upstreams[id]; ok {
 		u.attemptSent()
 	}
 }
 
-// Ended records the outcome of an attempt at a server. latency is the time since
+// AttemptEnded records the outcome of an attempt at a server. latency is the time since
 // the attempt was sent.
-func (p *Pool) Ended(now time.Duration, id coltsfootward.InstanceID, outcome Outcome, latency time.Duration) {
+func (p *Pool) AttemptEnded(now time.Duration, id coltsfootward.InstanceID, outcome Outcome, latency time.Duration) {
 	if u, ok := p.upstreams[id]; ok {
 		u.attemptEnded(now, outcome, latency)
 	}
 }
 
-// Observe records the load that a server reported with its response to a request.
-func (p *Pool) Observe(now time.Duration, id coltsfootward.InstanceID, kind Kind, load message.Load) {
+// ObserveLoad records the load that a server reported with its response to a request.
+func (p *Pool) ObserveLoad(now time.Duration, id coltsfootward.InstanceID, kind RequestKind, load message.Load) {
 	if u, ok := p.upstreams[id]; ok {
 		u.observeLoad(now, load)
 		p.levels.observe(now, kind, load.ShedLevel)
@@ -357,9 +357,9 @@
 	return message.Load{}
 }
 
-// Lost discards the last load report of a server after the connection to its node
+// ConnectionLost discards the last load report of a server after the connection to its node
 // broke.
-func (p *Pool) Lost(id coltsfootward.InstanceID) {
+func (p *Pool) ConnectionLost(id coltsfootward.InstanceID) {
 	if u, ok := p.upstreams[id]; ok {
 		u.hasLoad = false
 	}
@@ -367,6 +367,6 @@
 
 // Sheds reports whether the service's servers would shed a request of the given
 // kind and shed rank, according to the levels that they reported.
-func (p *Pool) Sheds(now time.Duration, kind Kind, rank uint32) bool {
+func (p *Pool) Sheds(now time.Duration, kind RequestKind, rank uint32) bool {
 	return p.levels.sheds(now, kind, rank)
 }
--- a/core/placement/pool_test.go
+++ b/core/placement/pool_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-var traders = placement.Kind{Organisation: "traders", Class: "GET /"}
+var traders = placement.RequestKind{Organisation: "traders", Class: "GET /"}
 
 var self = coltsfootward.Instance{ID: "self", Domain: "north"}
 
@@ -58,9 +58,9 @@
 		now := time.Second
 		for range rapid.IntRange(0, 200).Draw(t, "events") {
 			if instance, ok := p.Choose(now, source, nil); ok {
-				p.Sent(instance.ID)
-				outcomes := []placement.Outcome{placement.OutcomeAnswered, placement.OutcomeFailed, placement.OutcomeFailed, placement.OutcomeRefused, placement.OutcomeLeft}
-				p.Ended(now, instance.ID, rapid.SampledFrom(outcomes).Draw(t, "outcome"), time.Millisecond)
+				p.AttemptSent(instance.ID)
+				outcomes := []placement.Outcome{placement.OutcomeAnswered, placement.OutcomeFailed, placement.OutcomeFailed, placement.OutcomeRefused, placement.OutcomeCancelled}
+				p.AttemptEnded(now, instance.ID, rapid.SampledFrom(outcomes).Draw(t, "outcome"), time.Millisecond)
 			}
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * time.Millisecond
 		}
@@ -83,7 +83,7 @@
 	if picked := choose(p, time.Second, 100); picked["north-0"] != 100 {
 		t.Errorf("got %v, want all in the own failure domain while it has room", picked)
 	}
-	p.Observe(time.Second, "north-0", traders, message.Load{Running: 10, Queued: 5, Limit: 10})
+	p.ObserveLoad(time.Second, "north-0", traders, message.Load{Running: 10, Queued: 5, Limit: 10})
 	if picked := choose(p, time.Second, 100); picked["north-0"] != 0 {
 		t.Errorf("got %v, want none at a full server while others are idle", picked)
 	}
@@ -95,8 +95,8 @@
 func TestEjectedServerGetsSingleTrials(t *testing.T) {
 	p := newPool(self, 2, 0)
 	fail := func(now time.Duration) {
-		p.Sent("north-0")
-		p.Ended(now, "north-0", placement.OutcomeFailed, 0)
+		p.AttemptSent("north-0")
+		p.AttemptEnded(now, "north-0", placement.OutcomeFailed, 0)
 	}
 	now := time.Second
 	for range 3 {
@@ -106,18 +106,18 @@
 		t.Errorf("got %v just after ejection, want none at the broken server", picked)
 	}
 	now += 600 * time.Millisecond
-	p.Sent("north-0")
+	p.AttemptSent("north-0")
 	if picked := choose(p, now, 100); picked["north-0"] != 0 {
 		t.Errorf("got %v during a trial, want no second request", picked)
 	}
-	p.Ended(now, "north-0", placement.OutcomeFailed, 0)
+	p.AttemptEnded(now, "north-0", placement.OutcomeFailed, 0)
 	now += 600 * time.Millisecond
 	if picked := choose(p, now, 100); picked["north-0"] != 0 {
 		t.Errorf("got %v, want a longer pause after a failed trial", picked)
 	}
 	now += time.Second
-	p.Sent("north-0")
-	p.Ended(now, "north-0", placement.OutcomeAnswered, time.Millisecond)
+	p.AttemptSent("north-0")
+	p.AttemptEnded(now, "north-0", placement.OutcomeAnswered, time.Millisecond)
 	if picked := choose(p, now, 100); picked["north-0"] < 20 {
 		t.Errorf("got %v after a success, want a fair share", picked)
 	}
@@ -136,14 +136,14 @@
 		var sent []coltsfootward.InstanceID
 		for range 400 {
 			instance, _ := p.Choose(now, source, nil)
-			p.Sent(instance.ID)
+			p.AttemptSent(instance.ID)
 			sent = append(sent, instance.ID)
 			if instance.ID == "north-0" {
 				count++
 			}
 		}
 		for _, id := range sent {
-			p.Ended(now, id, placement.OutcomeLeft, 0)
+			p.AttemptEnded(now, id, placement.OutcomeCancelled, 0)
 		}
 		return count
 	}
@@ -198,16 +198,16 @@
 	now := time.Minute
 	full := message.Load{Limit: 10, ShedLevel: 2 << 28}
 	for range 10 {
-		p.Observe(now, "north-0", traders, full)
-		p.Observe(now, "south-0", traders, full)
+		p.ObserveLoad(now, "north-0", traders, full)
+		p.ObserveLoad(now, "south-0", traders, full)
 	}
-	if !p.Sheds(now, traders, 3<<28) || p.Sheds(now, traders, 1<<28) || p.Sheds(now, placement.Kind{Organisation: "brokers"}, 3<<28) {
+	if !p.Sheds(now, traders, 3<<28) || p.Sheds(now, traders, 1<<28) || p.Sheds(now, placement.RequestKind{Organisation: "brokers"}, 3<<28) {
 		t.Error("got another verdict, want only the organisation's less important requests shed")
 	}
 	if p.Sheds(now+2*time.Second, traders, 3<<28) {
 		t.Error("got shed two seconds later, want it let through to try")
 	}
-	p.Observe(now, "south-0", traders, message.Load{Limit: 10})
+	p.ObserveLoad(now, "south-0", traders, message.Load{Limit: 10})
 	if p.Sheds(now, traders, 3<<28) {
 		t.Error("got shed while a server accepts, want it let through")
 	}
@@ -219,9 +219,9 @@
 	now := time.Second
 	for b.Loop() {
 		instance, _ := p.Choose(now, source, nil)
-		p.Sent(instance.ID)
-		p.Ended(now, instance.ID, placement.OutcomeAnswered, time.Millisecond)
-		p.Observe(now, instance.ID, traders, message.Load{Running: 3, Limit: 10})
+		p.AttemptSent(instance.ID)
+		p.AttemptEnded(now, instance.ID, placement.OutcomeAnswered, time.Millisecond)
+		p.ObserveLoad(now, instance.ID, traders, message.Load{Running: 3, Limit: 10})
 		now += time.Millisecond
 	}
 }
@@ -232,7 +232,7 @@
 func BenchmarkSheds(b *testing.B) {
 	p := newPool(self, 0, 16)
 	for i := range 16 {
-		p.Observe(time.Second, server("south", i).ID, traders, message.Load{Limit: 10, ShedLevel: 2 << 28})
+		p.ObserveLoad(time.Second, server("south", i).ID, traders, message.Load{Limit: 10, ShedLevel: 2 << 28})
 	}
 	for b.Loop() {
 		p.Sheds(time.Second, traders, 3<<28)
--- a/core/placement/upstream.go
+++ b/core/placement/upstream.go
@@ -42,8 +42,8 @@
 	OutcomeRefused Outcome = "refused"
 	// OutcomeFailed means that the attempt was lost, was aborted or timed out.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeLeft means that the attempt was cancelled before it ended.
-	OutcomeLeft Outcome = "left"
+	// OutcomeCancelled means that the attempt was cancelled before it ended.
+	OutcomeCancelled Outcome = "left"
 )
 
 // upstream is the state that a node keeps about one backend server.
--- a/core/pressure/callees.go
+++ b/core/pressure/callees.go
@@ -293,9 +293,9 @@
 	}
 }
 
-// Ended records the end of a request that entered service at began. failed is set if
+// RequestEnded records the end of a request that entered service at began. failed is set if
 // the backend server failed the request.
-func (c *Callees) Ended(now, began time.Duration, class coltsfootward.RouteName, failed bool) {
+func (c *Callees) RequestEnded(now, began time.Duration, class coltsfootward.RouteName, failed bool) {
 	c.advance(now)
 	k := c.class(class)
 	k.requests++
@@ -355,8 +355,8 @@
 	return k.expectedFailures >= minExpectedFailures && k.failures < minFailureShare*k.expectedFailures
 }
 
-// Called records the start of a child call.
-func (c *Callees) Called(now time.Duration, route coltsfootward.RouteName) {
+// CallStarted records the start of a child call.
+func (c *Callees) CallStarted(now time.Duration, route coltsfootward.RouteName) {
 	c.advance(now)
 	c.route(route).windows[c.newestWindow%openWindows]++
 }
--- a/core/pressure/gate.go
+++ b/core/pressure/gate.go
@@ -107,14 +107,14 @@
 	// refused, and Age is the age of that report.
 	Excess float64
 	Age    time.Duration
-	// Passed is the admitted fraction of the demand. Limit is the rank above which
+	// Admitted is the admitted fraction of the demand. Limit is the rank above which
 	// requests are refused.
-	Passed float64
-	Limit  uint32
+	Admitted float64
+	Limit    uint32
 }
 
 func (g *gate) state(now time.Duration, service coltsfootward.ServiceName) State {
-	return State{Service: service, Excess: g.excess, Age: now - g.reportedAt, Passed: g.admitted, Limit: g.limit}
+	return State{Service: service, Excess: g.excess, Age: now - g.reportedAt, Admitted: g.admitted, Limit: g.limit}
 }
 
 // State returns the state of a service's gate.
@@ -154,11 +154,11 @@
 	return found
 }
 
-// Answered processes the reports in a response to a request of the class: the excess
+// ObserveResponse processes the reports in a response to a request of the class: the excess
 // at each service that such requests need. The nodes of a service find out
 // independently, and at different times, which services a class needs. A service
 // counts as needed if most responses report it.
-func (g *Gates) Answered(now time.Duration, class coltsfootward.RouteName, reports []Reported) {
+func (g *Gates) ObserveResponse(now time.Duration, class coltsfootward.RouteName, reports []Report) {
 	if g.needs == nil {
 		g.needs = make(map[coltsfootward.RouteName]map[coltsfootward.ServiceName]need)
 	}
@@ -193,9 +193,9 @@
 	g.excess += weight * (excess - g.excess)
 }
 
-// Forget drops the classes for which keep returns false. Otherwise each configuration
+// Retain drops the classes for which keep returns false. Otherwise each configuration
 // change that renames routes would leave unused classes behind.
-func (g *Gates) Forget(keep func(coltsfootward.RouteName) bool) {
+func (g *Gates) Retain(keep func(coltsfootward.RouteName) bool) {
 	maps.DeleteFunc(g.needs, func(class coltsfootward.RouteName, _ map[coltsfootward.ServiceName]need) bool {
 		return !keep(class)
 	})
@@ -204,8 +204,8 @@
 // Classes returns the number of classes whose needs are known.
 func (g *Gates) Classes() int { return len(g.needs) }
 
-// Reported is the excess of a service, as reported in a response.
-type Reported struct {
+// Report is the excess of a service, as reported in a response.
+type Report struct {
 	Service coltsfootward.ServiceName
 	Excess  float64
 	// Cost is the slot time in seconds that one request of the class takes at the
@@ -217,10 +217,10 @@
 	Cold bool
 }
 
-// Below returns the excess of each service that the given calls need, to be reported
+// ReportsFor returns the excess of each service that the given calls need, to be reported
 // in responses. The cost of a service is the sum over the calls that a request makes.
-func (g *Gates) Below(now time.Duration, calls []Callee) []Reported {
-	var reports []Reported
+func (g *Gates) ReportsFor(now time.Duration, calls []Callee) []Report {
+	var reports []Report
 	index := make(map[coltsfootward.ServiceName]int)
 	for _, call := range calls {
 		needs := g.needs[call.Route]
@@ -232,7 +232,7 @@
 			if !seen {
 				i = len(reports)
 				index[service] = i
-				reports = append(reports, Reported{Service: service, Excess: g.gate(service).currentExcess(now)})
+				reports = append(reports, Report{Service: service, Excess: g.gate(service).currentExcess(now)})
 			}
 			reports[i].Cost += call.CallsPerRequest * needs[service].cost
 		}
@@ -284,10 +284,10 @@
 	return int(min(rank>>(rankBits-bucketBits), buckets-1))
 }
 
-// Withhold sets the minimum fraction of the demand for a service to refuse, 0 to 1,
+// SetMinRefused sets the minimum fraction of the demand for a service to refuse, 0 to 1,
 // until it is called again. It is for conditions that are known in advance, such as
 // cold servers: reports of the servers arrive only after the load has reached them.
-func (g *Gates) Withhold(service coltsfootward.ServiceName, fraction float64) {
+func (g *Gates) SetMinRefused(service coltsfootward.ServiceName, fraction float64) {
 	if fraction > 0 || g.gates[service] != nil {
 		g.gate(service).minRefused = fraction
 	}
--- a/core/pressure/pressure_test.go
+++ b/core/pressure/pressure_test.go
@@ -45,10 +45,10 @@
 		i := source.IntN(len(running))
 		if running[i].calls > 0 {
 			running[i].calls--
-			c.Called(now, "deep")
+			c.CallStarted(now, "deep")
 			continue
 		}
-		c.Ended(now, running[i].began, running[i].class, false)
+		c.RequestEnded(now, running[i].began, running[i].class, false)
 		running = append(running[:i], running[i+1:]...)
 	}
 	if got := c.Of(now, "four"); len(got) != 1 {
@@ -72,11 +72,11 @@
 		now += 50 * time.Millisecond
 		failing := i >= 200 && i%3 == 0
 		began := now
-		c.Called(now, "deep")
+		c.CallStarted(now, "deep")
 		now += 50 * time.Millisecond
 		c.CallEnded("deep", 50*time.Millisecond, failing)
-		c.Ended(now, began, "calls", failing)
-		c.Ended(now, began, "files", false)
+		c.RequestEnded(now, began, "calls", failing)
+		c.RequestEnded(now, began, "files", false)
 	}
 	if got := c.Of(now, "calls"); len(got) != 1 {
 		t.Errorf("calls: got %v, want deep", got)
@@ -97,10 +97,10 @@
 		deep := coltsfootward.RouteName(fmt.Sprintf("deep-%d", generation))
 		for range 200 {
 			began := now
-			c.Called(now, deep)
+			c.CallStarted(now, deep)
 			now += 50 * time.Millisecond
 			c.CallEnded(deep, 25*time.Millisecond, false)
-			c.Ended(now, began, calls, false)
+			c.RequestEnded(now, began, calls, false)
 		}
 		if got := c.Of(now, calls); len(got) != 1 || got[0].Route != deep {
 			t.Fatalf("generation %d: got %v, want %s", generation, got, deep)
@@ -121,12 +121,12 @@
 			delay = 75 * time.Millisecond
 		}
 		began := now
-		c.Called(now, "deep")
+		c.CallStarted(now, "deep")
 		now += 25*time.Millisecond + delay
 		c.CallEnded("deep", 25*time.Millisecond+delay, false)
 		now += 25 * time.Millisecond
-		c.Ended(now, began, "calls", false)
-		c.Ended(now, now-50*time.Millisecond, "files", false)
+		c.RequestEnded(now, began, "calls", false)
+		c.RequestEnded(now, now-50*time.Millisecond, "files", false)
 	}
 	if got := c.Of(now, "calls"); len(got) != 1 {
 		t.Errorf("calls: got %v, want deep", got)
@@ -158,12 +158,12 @@
 			}
 			if source.IntN(4) == 0 {
 				for call := range 4 {
-					at[step+1+call*span/4] = append(at[step+1+call*span/4], func(now time.Duration) { c.Called(now, "deep") })
+					at[step+1+call*span/4] = append(at[step+1+call*span/4], func(now time.Duration) { c.CallStarted(now, "deep") })
 				}
-				at[step+span] = append(at[step+span], func(ended time.Duration) { c.Ended(ended, now, "calls", false) })
+				at[step+span] = append(at[step+span], func(ended time.Duration) { c.RequestEnded(ended, now, "calls", false) })
 			}
 			if source.IntN(6) == 0 {
-				at[step+5] = append(at[step+5], func(ended time.Duration) { c.Ended(ended, now, "files", false) })
+				at[step+5] = append(at[step+5], func(ended time.Duration) { c.RequestEnded(ended, now, "files", false) })
 			}
 			if step < 500 || step%100 > 0 {
 				continue
@@ -209,7 +209,7 @@
 		p.admitted = append(p.admitted, demand*float64(admitted)/perStep)
 		if len(p.admitted) > lag {
 			p.throttle.Observe(p.now, p.admitted[len(p.admitted)-lag])
-			p.gates.Answered(p.now, "quotes", []pressure.Reported{{Service: "deep", Excess: p.throttle.Excess()}})
+			p.gates.ObserveResponse(p.now, "quotes", []pressure.Report{{Service: "deep", Excess: p.throttle.Excess()}})
 		}
 	}
 	sum := 0.0
@@ -265,10 +265,10 @@
 			fractions[g] += 0.01 * (float64(admitted)/perStep - fractions[g])
 		}
 		throttle.Observe(now, load)
-		reports := []pressure.Reported{{Service: "deep", Excess: throttle.Excess()}}
-		frequent.Answered(now, "quotes", reports)
+		reports := []pressure.Report{{Service: "deep", Excess: throttle.Excess()}}
+		frequent.ObserveResponse(now, "quotes", reports)
 		if step%30 == 0 {
-			rare.Answered(now, "quotes", reports)
+			rare.ObserveResponse(now, "quotes", reports)
 		}
 		if step > 1000 && math.Abs(fractions[&frequent]-fractions[&rare]) > 0.15 {
 			t.Fatalf("at %v: one node admits %.2f of its demand and the other %.2f, want the same", now, fractions[&frequent], fractions[&rare])
@@ -407,7 +407,7 @@
 				if _, ok := g.Admit(class, rank); ok && step >= steps/2 {
 					served[class]++
 				}
-				g.Answered(now, class, []pressure.Reported{{Service: "fittings", Excess: test.excess, Cost: cost}})
+				g.ObserveResponse(now, class, []pressure.Report{{Service: "fittings", Excess: test.excess, Cost: cost}})
 			}
 			g.Tick(now)
 		}
@@ -441,14 +441,14 @@
 		}
 		if source.IntN(4) == 0 {
 			for call := range 4 {
-				at[step+1+call*(4+slow)] = append(at[step+1+call*(4+slow)], func(now time.Duration) { c.Called(now, "deep") })
+				at[step+1+call*(4+slow)] = append(at[step+1+call*(4+slow)], func(now time.Duration) { c.CallStarted(now, "deep") })
 				took := time.Duration(4+slow) * 10 * time.Millisecond
 				at[step+1+(call+1)*(4+slow)] = append(at[step+1+(call+1)*(4+slow)], func(time.Duration) { c.CallEnded("deep", took, false) })
 			}
-			at[step+18+4*slow] = append(at[step+18+4*slow], func(ended time.Duration) { c.Ended(ended, now, "calls", false) })
+			at[step+18+4*slow] = append(at[step+18+4*slow], func(ended time.Duration) { c.RequestEnded(ended, now, "calls", false) })
 		}
 		if source.IntN(4) == 0 {
-			at[step+18+2*slow] = append(at[step+18+2*slow], func(ended time.Duration) { c.Ended(ended, now, "files", false) })
+			at[step+18+2*slow] = append(at[step+18+2*slow], func(ended time.Duration) { c.RequestEnded(ended, now, "files", false) })
 		}
 		if step < 1000 || step%100 > 0 {
 			continue
@@ -491,12 +491,12 @@
 	admitted := func(every time.Duration) float64 {
 		var g pressure.Gates
 		now := time.Second
-		g.Answered(now, "quotes", []pressure.Reported{{Service: "quotes", Excess: 0}})
+		g.ObserveResponse(now, "quotes", []pressure.Report{{Service: "quotes", Excess: 0}})
 		for ; now < 2*time.Second; now += every {
-			g.Answered(now, "quotes", []pressure.Reported{{Service: "quotes", Excess: 0.8}})
+			g.ObserveResponse(now, "quotes", []pressure.Report{{Service: "quotes", Excess: 0.8}})
 			g.Tick(now)
 		}
-		return g.State(now, "quotes").Passed
+		return g.State(now, "quotes").Admitted
 	}
 	if frequent, rare := admitted(35*time.Millisecond), admitted(400*time.Millisecond); rare > frequent+0.1 {
 		t.Errorf("got %.2f admitted with a report each 400 ms and %.2f with one each 35 ms, want about the same", rare, frequent)
--- a/core/rate/bucket.go
+++ b/core/rate/bucket.go
@@ -38,7 +38,7 @@
 // have granted its full depth a moment ago, and a second full bucket would
 // double the burst.
 func NewBucket(part Part, since time.Duration) *Bucket {
-	return &Bucket{parameters: part.Shape(), lastRefill: since}
+	return &Bucket{parameters: part.BucketParameters(), lastRefill: since}
 }
 
 // NewFullBucket returns a full bucket, for a part from which no tokens can have
@@ -53,21 +53,21 @@
 type Grant struct {
 	// Tokens is the number of whole tokens drawn.
 	Tokens int64
-	// Life is the lifetime of the drawn tokens, counted from before the draw was
+	// Lifetime is the lifetime of the drawn tokens, counted from before the draw was
 	// sent.
-	Life time.Duration
-	// EmptyFor is the delay before the next draw if fewer tokens were drawn than
+	Lifetime time.Duration
+	// RetryAfter is the delay before the next draw if fewer tokens were drawn than
 	// needed.
-	EmptyFor time.Duration
+	RetryAfter time.Duration
 	// Level is the number of whole tokens left in the bucket.
 	Level int64
 }
 
-// Reshape sets the bucket's parameters to those of another part. Tokens in the
+// SetPart sets the bucket's parameters to those of another part. Tokens in the
 // bucket are kept up to the new depth.
-func (b *Bucket) Reshape(now coltsfootward.Instant, part Part) {
+func (b *Bucket) SetPart(now coltsfootward.Instant, part Part) {
 	b.refill(now)
-	b.parameters = part.Shape()
+	b.parameters = part.BucketParameters()
 	b.level = min(b.level, b.parameters.Depth)
 }
 
@@ -81,9 +81,9 @@
 		tokens += min(max(prefetch, 0), (available-tokens)/prefetchDivisor)
 	}
 	b.level -= tokens * Token
-	grant := Grant{Tokens: tokens, Life: b.parameters.Life, Level: b.level / Token}
+	grant := Grant{Tokens: tokens, Lifetime: b.parameters.Lifetime, Level: b.level / Token}
 	if tokens < need {
-		grant.EmptyFor = b.retryDelay(need - tokens)
+		grant.RetryAfter = b.retryDelay(need - tokens)
 	}
 	return grant
 }
--- a/core/rate/divide.go
+++ b/core/rate/divide.go
@@ -36,13 +36,13 @@
 )
 
 const (
-	// MinimumLife is the shortest lifetime of a token. It covers a draw from
+	// MinimumLifetime is the shortest lifetime of a token. It covers a draw from
 	// another failure domain, the latency to the upstream's node and a short
 	// queue.
-	MinimumLife = 50 * time.Millisecond
-	// MaximumLife is the longest lifetime of a token. A longer one would reduce
+	MinimumLifetime = 50 * time.Millisecond
+	// MaximumLifetime is the longest lifetime of a token. A longer one would reduce
 	// the bucket's depth further without benefit: requests do not queue longer.
-	MaximumLife = time.Second
+	MaximumLifetime = time.Second
 	// lateSpendDivisor sets the lifetime of tokens between the two bounds: a part's
 	// burst divided by it may be spent late.
 	lateSpendDivisor = 4
@@ -68,15 +68,15 @@
 // BucketParameters are the parameters with which a bucket keeps its part's rate
 // and burst although tokens may be spent up to Life after they were drawn.
 type BucketParameters struct {
-	// Life is the lifetime of a token, counted from before it was drawn.
-	Life time.Duration
+	// Lifetime is the lifetime of a token, counted from before it was drawn.
+	Lifetime time.Duration
 	// Depth is the bucket's capacity in units of Token.
 	Depth int64
 	// Refill is the bucket's refill rate in units of Token per second.
 	Refill int64
 }
 
-// Shape returns the parameters of the part's bucket.
+// BucketParameters returns the parameters of the part's bucket.
 //
 // Requests that start within a window w spend tokens drawn within w + Life, so a
 // bucket with the part's full burst b and rate r would let b + r·w + r·Life
@@ -85,13 +85,13 @@
 // start within no less than (k + c)/Refill − Life, which must be at least k/r
 // for every whole k ≥ 1. This holds for Refill = r if c ≥ r·Life, and otherwise
 // for Refill = r·(1 + c)/(1 + r·Life).
-func (p Part) Shape() BucketParameters {
+func (p Part) BucketParameters() BucketParameters {
 	if p.Burst < 1 || p.Rate < 0 {
 		return BucketParameters{}
 	}
 	burst := p.Burst * Token
 	spare := burst - Token
-	life := p.life(spare)
+	life := p.lifetime(spare)
 	lateTokens := mulDiv(p.Rate, int64(life), int64(time.Second)) + 1
 	depthReduction := min(lateTokens, spare)
 	if lateTokens <= Token/negligibleLateDivisor {
@@ -101,17 +101,17 @@
 	if depthReduction < lateTokens {
 		refill = mulDiv(p.Rate, Token+depthReduction, Token+lateTokens)
 	}
-	return BucketParameters{Life: life, Depth: burst - depthReduction, Refill: refill}
+	return BucketParameters{Lifetime: life, Depth: burst - depthReduction, Refill: refill}
 }
 
-// life returns the lifetime of the part's tokens. spare is the burst without one
+// lifetime returns the lifetime of the part's tokens. spare is the burst without one
 // token, in units of Token.
-func (p Part) life(spare int64) time.Duration {
+func (p Part) lifetime(spare int64) time.Duration {
 	if p.Rate == 0 {
-		return MaximumLife
+		return MaximumLifetime
 	}
 	life := time.Duration(mulDiv(spare, int64(time.Second), p.Rate*lateSpendDivisor))
-	return min(max(life, MinimumLife), MaximumLife)
+	return min(max(life, MinimumLifetime), MaximumLifetime)
 }
 
 // Division is the list of parts of an organisation's rate and burst, in a fixed
--- a/core/rate/divide_test.go
+++ b/core/rate/divide_test.go
@@ -94,14 +94,14 @@
 			now += time.Duration(rapid.Int64Range(0, int64(100*time.Millisecond)).Draw(t, "gap"))
 			grant := bucket.Draw(coltsfootward.At(now), rapid.Int64Range(0, 5).Draw(t, "need"), rapid.Int64Range(0, 20).Draw(t, "ahead"))
 			for range grant.Tokens {
-				late := time.Duration(rapid.SampledFrom([]int64{0, int64(grant.Life), rapid.Int64Range(0, int64(grant.Life)).Draw(t, "late")}).Draw(t, "when"))
+				late := time.Duration(rapid.SampledFrom([]int64{0, int64(grant.Lifetime), rapid.Int64Range(0, int64(grant.Lifetime)).Draw(t, "late")}).Draw(t, "when"))
 				spends = append(spends, now+late)
 			}
 		}
 		slices.Sort(spends)
 		for _, at := range spends {
 			if !central.start(at) {
-				t.Fatalf("got a start at %s beyond the central bucket of %+v (parameters %+v)", at, part, part.Shape())
+				t.Fatalf("got a start at %s beyond the central bucket of %+v (parameters %+v)", at, part, part.BucketParameters())
 			}
 		}
 	})
@@ -139,7 +139,7 @@
 	domains := domainNames(4)
 	rapid.Check(t, func(t *rapid.T) {
 		const spread = 13 * time.Second
-		var shares [4]rate.Share
+		var shares [4]rate.DivisionTracker
 		limits := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) coltsfootward.Rate {
 			return coltsfootward.Rate{PerSecond: rapid.Float64Range(1, 100).Draw(t, "rate"), Burst: rapid.Int64Range(1, 40).Draw(t, "burst")}
 		}), 2, 5).Draw(t, "changes")
@@ -159,7 +159,7 @@
 			for _, n := range arrivals {
 				for n.at == second && n.index > applied[n.holder] {
 					applied[n.holder]++
-					shares[n.holder].Change(now, rate.Divide("traders", limits[applied[n.holder]], domains, 1), spread+rate.MaximumLife)
+					shares[n.holder].Change(now, rate.Divide("traders", limits[applied[n.holder]], domains, 1), spread+rate.MaximumLifetime)
 				}
 			}
 			var rates, bursts int64
--- a/core/rate/purse.go
+++ b/core/rate/purse.go
@@ -8,26 +8,26 @@
 	"coltsfootward"
 )
 
-// Chunk is a number of tokens that were drawn together and expire together.
-type Chunk struct {
+// Batch is a number of tokens that were drawn together and expire together.
+type Batch struct {
 	Tokens int64
 	// Expires is when the tokens expire, by Instant.Expiry.
 	Expires time.Duration
 }
 
-// Purse caches the tokens that an entry node has drawn for an organisation. The
+// TokenCache caches the tokens that an entry node has drawn for an organisation. The
 // zero value is empty. It is not safe for concurrent use.
-type Purse struct {
+type TokenCache struct {
 	// batches are sorted by expiry.
-	batches []Chunk
+	batches []Batch
 }
 
 // Add adds drawn tokens.
-func (p *Purse) Add(c Chunk) {
+func (p *TokenCache) Add(c Batch) {
 	if c.Tokens <= 0 {
 		return
 	}
-	index, _ := slices.BinarySearchFunc(p.batches, c.Expires, func(held Chunk, expires time.Duration) int {
+	index, _ := slices.BinarySearchFunc(p.batches, c.Expires, func(held Batch, expires time.Duration) int {
 		return int(min(max(held.Expires-expires, -1), 1))
 	})
 	p.batches = slices.Insert(p.batches, index, c)
@@ -35,7 +35,7 @@
 
 // Take removes the token that expires first and returns it as a batch of one. It
 // skips tokens that expire within margin, since they could not be spent in time.
-func (p *Purse) Take(now coltsfootward.Instant, margin time.Duration) (Chunk, bool) {
+func (p *TokenCache) Take(now coltsfootward.Instant, margin time.Duration) (Batch, bool) {
 	p.expire(now)
 	for i := range p.batches {
 		if p.batches[i].Expires <= now.Expiry+margin {
@@ -49,11 +49,11 @@
 		}
 		return token, true
 	}
-	return Chunk{}, false
+	return Batch{}, false
 }
 
 // Tokens returns the number of tokens that have not expired at now.
-func (p *Purse) Tokens(now coltsfootward.Instant) int64 {
+func (p *TokenCache) Tokens(now coltsfootward.Instant) int64 {
 	p.expire(now)
 	var sum int64
 	for _, c := range p.batches {
@@ -62,8 +62,8 @@
 	return sum
 }
 
-func (p *Purse) expire(now coltsfootward.Instant) {
-	p.batches = slices.DeleteFunc(p.batches, func(c Chunk) bool { return c.Expires <= now.Expiry })
+func (p *TokenCache) expire(now coltsfootward.Instant) {
+	p.batches = slices.DeleteFunc(p.batches, func(c Batch) bool { return c.Expires <= now.Expiry })
 }
 
 // demandWindow is the time constant with which the demand estimate decays.
@@ -76,8 +76,8 @@
 	lastRequest time.Duration
 }
 
-// Note counts one request.
-func (d *Demand) Note(now coltsfootward.Instant) {
+// RecordRequest counts one request.
+func (d *Demand) RecordRequest(now coltsfootward.Instant) {
 	d.perSecond = d.PerSecond(now) + 1/demandWindow.Seconds()
 	d.lastRequest = now.Monotonic
 }
--- a/core/rate/share.go
+++ b/core/rate/share.go
@@ -7,7 +7,7 @@
 	"coltsfootward"
 )
 
-// Share tracks the division of an organisation's rate limit at one node while
+// DivisionTracker tracks the division of an organisation's rate limit at one node while
 // the limit changes. The zero value has no parts. It is not safe for concurrent
 // use.
 //
@@ -18,7 +18,7 @@
 // Change. By then every holder has lowered its part, provided that a change
 // reaches all holders within that delay less MaximumLife, and all tokens drawn
 // before have been spent or have expired.
-type Share struct {
+type DivisionTracker struct {
 	current Division
 	// effectiveAt is when the raised parts of the last change that lowered any
 	// part became or become effective, by Instant.Monotonic.
@@ -35,7 +35,7 @@
 
 // Change makes division the current one. delay is how long raised parts wait if
 // any part is lowered. It reports whether division differs from the current one.
-func (s *Share) Change(now coltsfootward.Instant, division Division, delay time.Duration) bool {
+func (s *DivisionTracker) Change(now coltsfootward.Instant, division Division, delay time.Duration) bool {
 	if slices.Equal(s.current, division) {
 		return false
 	}
@@ -48,17 +48,17 @@
 }
 
 // Current returns the division of the last change.
-func (s *Share) Current() Division { return s.current }
+func (s *DivisionTracker) Current() Division { return s.current }
 
-// Settled returns when the last change that lowered any part became or becomes
+// EffectiveAt returns when the last change that lowered any part became or becomes
 // fully effective, by Instant.Monotonic. Zero means that there was no such
 // change.
-func (s *Share) Settled() time.Duration { return s.effectiveAt }
+func (s *DivisionTracker) EffectiveAt() time.Duration { return s.effectiveAt }
 
 // Part returns the part that the holder of a slot may grant from at now: the
 // lowest rate and burst of the current division and of all superseded divisions
 // that other holders may still use.
-func (s *Share) Part(now coltsfootward.Instant, domain coltsfootward.FailureDomain, slot int) Part {
+func (s *DivisionTracker) Part(now coltsfootward.Instant, domain coltsfootward.FailureDomain, slot int) Part {
 	s.superseded = slices.DeleteFunc(s.superseded, func(e supersededDivision) bool { return now.Monotonic >= e.until })
 	part := s.current.At(domain, slot)
 	for _, e := range s.superseded {
--- a/core/record/hybrid.go
+++ b/core/record/hybrid.go
@@ -47,10 +47,10 @@
 	return c.last
 }
 
-// Heard merges a stamp that a peer sent and that arrived at the time wall, so that
+// Observe merges a stamp that a peer sent and that arrived at the time wall, so that
 // all later stamps of this clock are higher. A stamp more than maximumLead ahead of
 // wall is ignored. The result reports whether the stamp was accepted.
-func (c *HybridClock) Heard(peer Stamp, wall time.Time) bool {
+func (c *HybridClock) Observe(peer Stamp, wall time.Time) bool {
 	if peer.Wall > wall.Add(maximumLead).UnixNano() {
 		return false
 	}
--- a/core/record/hybrid_test.go
+++ b/core/record/hybrid_test.go
@@ -29,7 +29,7 @@
 			var received record.Stamp
 			if len(inFlight) > 0 && rapid.Bool().Draw(t, "receive") {
 				received = inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")].stamp
-				if !clocks[i].Heard(received, wall) {
+				if !clocks[i].Observe(received, wall) {
 					t.Fatalf("stamp %v was rejected at %v, want it accepted", received, wall)
 				}
 			}
@@ -48,7 +48,7 @@
 func TestHybridClockRejectsFarFutureStamp(t *testing.T) {
 	var clock record.HybridClock
 	now := time.Unix(1_700_000_000, 0)
-	if clock.Heard(record.Stamp{Wall: now.Add(24 * time.Hour).UnixNano()}, now) {
+	if clock.Observe(record.Stamp{Wall: now.Add(24 * time.Hour).UnixNano()}, now) {
 		t.Error("a stamp a day ahead was accepted, want it rejected")
 	}
 	if got, want := clock.Next(now), (record.Stamp{Wall: now.UnixNano()}); got != want {
--- a/core/record/ring.go
+++ b/core/record/ring.go
@@ -36,9 +36,9 @@
 // Stamp returns the stamp for a message sent to a peer at the time wall.
 func (r *Ring) Stamp(wall time.Time) Stamp { return r.clock.Next(wall) }
 
-// Heard merges the stamp of a message received from a peer at the time wall, so that
-// this node's later records sort after it. See HybridClock.Heard.
-func (r *Ring) Heard(peer Stamp, wall time.Time) { r.clock.Heard(peer, wall) }
+// Observe merges the stamp of a message received from a peer at the time wall, so that
+// this node's later records sort after it. See HybridClock.Observe.
+func (r *Ring) Observe(peer Stamp, wall time.Time) { r.clock.Observe(peer, wall) }
 
 // Last returns up to limit of the latest records, oldest first. A limit of zero or less
 // returns all records.
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Kind classifies a request for the retry budget.
-type Kind string
+// RequestKind classifies a request for the retry budget.
+type RequestKind string
 
 // The kinds of request. A leaf request needs no further services.
 const (
 	// KindCaller is a caller's leaf request.
-	KindCaller Kind = "caller"
+	KindCaller RequestKind = "caller"
 	// KindCall is a backend server's call that is a leaf request.
-	KindCall Kind = "call"
-	// KindCallerAbove is a caller's request that needs further services.
-	KindCallerAbove Kind = "caller_above"
-	// KindCallAbove is a backend server's call that needs further services.
-	KindCallAbove Kind = "call_above"
+	KindCall RequestKind = "call"
+	// KindCallerNonLeaf is a caller's request that needs further services.
+	KindCallerNonLeaf RequestKind = "caller_above"
+	// KindCallNonLeaf is a backend server's call that needs further services.
+	KindCallNonLeaf RequestKind = "call_above"
 )
 
 // The thresholds are the fractions of a service's share up to which a request of
@@ -54,8 +54,8 @@
 type Budget struct {
 	// Share is the largest ratio of retries to requests.
 	Share float64
-	// Saved is this node's part of the fleet's burst of retries, in retries.
-	Saved float64
+	// Burst is this node's part of the fleet's burst of retries, in retries.
+	Burst float64
 
 	// steps is a ring buffer of the counts per step, total their sum.
 	steps [windowSteps]budgetCounts
@@ -95,9 +95,9 @@
 	return &b.steps[b.step%windowSteps]
 }
 
-// Requested counts a request's first attempt. inherited is set if the request is a
+// RecordRequest counts a request's first attempt. inherited is set if the request is a
 // call made by a retried request.
-func (b *Budget) Requested(now time.Duration, inherited bool) {
+func (b *Budget) RecordRequest(now time.Duration, inherited bool) {
 	counted := budgetCounts{requests: 1}
 	if inherited {
 		counted.inherited = 1
@@ -111,7 +111,7 @@
 }
 
 // Take reports whether one more retry is allowed, and counts it if so.
-func (b *Budget) Take(now time.Duration, kind Kind) bool {
+func (b *Budget) Take(now time.Duration, kind RequestKind) bool {
 	if kind == KindCaller {
 		b.count(now, budgetCounts{callerWanted: 1})
 	} else {
@@ -123,7 +123,7 @@
 	} else {
 		spent += b.total.callerWanted
 	}
-	limit := b.Share*threshold(kind)*float64(b.total.requests) + burstFraction*b.Saved
+	limit := b.Share*threshold(kind)*float64(b.total.requests) + burstFraction*b.Burst
 	if float64(spent+1) > limit {
 		return false
 	}
@@ -135,13 +135,13 @@
 	return true
 }
 
-func threshold(kind Kind) float64 {
+func threshold(kind RequestKind) float64 {
 	switch kind {
 	case KindCaller:
 		return callerThreshold
 	case KindCall:
 		return callThreshold
-	case KindCallerAbove:
+	case KindCallerNonLeaf:
 		return callerNonLeafThreshold
 	default:
 		return callNonLeafThreshold
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -21,13 +21,13 @@
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
 		for i := range budgets {
 			b := &budgets[i]
-			b.Share, b.Saved = share, float64(burst)/nodes
+			b.Share, b.Burst = share, float64(burst)/nodes
 			for n := range 10 {
 				kind := retry.KindCall
 				if n == 0 {
 					kind = retry.KindCaller
 				}
-				b.Requested(now, false)
+				b.RecordRequest(now, false)
 				requests++
 				for b.Take(now, kind) {
 					retries++
@@ -45,14 +45,14 @@
 // retries were distributed evenly, they would fail as often as calls whose parent
 // requests fail anyway.
 func TestCallersTakePrecedence(t *testing.T) {
-	b := retry.Budget{Share: 0.2, Saved: 3}
+	b := retry.Budget{Share: 0.2, Burst: 3}
 	var got [2]int
 	const rounds = 1000
 	for i := range rounds {
 		now := time.Duration(i) * 10 * time.Millisecond
-		b.Requested(now, false)
+		b.RecordRequest(now, false)
 		for range 9 {
-			b.Requested(now, false)
+			b.RecordRequest(now, false)
 		}
 		if b.Take(now, retry.KindCaller) {
 			got[0]++
@@ -76,10 +76,10 @@
 // that end between two retries are not checked: they contain the same retries, and
 // the requests that allowed these came before.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
-	kinds := []retry.Kind{retry.KindCaller, retry.KindCall, retry.KindCallerAbove, retry.KindCallAbove}
+	kinds := []retry.RequestKind{retry.KindCaller, retry.KindCall, retry.KindCallerNonLeaf, retry.KindCallNonLeaf}
 	rapid.Check(t, func(t *rapid.T) {
 		const share, burst = 0.2, 5.0
-		b := retry.Budget{Share: share, Saved: burst}
+		b := retry.Budget{Share: share, Burst: burst}
 		type counted struct {
 			at                           time.Duration
 			requests, inherited, retries int
@@ -97,7 +97,7 @@
 				if inherits && i%8 == 0 {
 					e.inherited = 1
 				}
-				b.Requested(now, e.inherited > 0)
+				b.RecordRequest(now, e.inherited > 0)
 				for range failing {
 					if b.Take(now, kind) {
 						e.retries++
@@ -136,7 +136,7 @@
 	wanted, got := 0, 0
 	for i := range 1200 {
 		now := time.Duration(i) * 10 * time.Millisecond
-		b.Requested(now, false)
+		b.RecordRequest(now, false)
 		if i >= 800 && i%4 == 0 {
 			wanted++
 			if b.Take(now, retry.KindCall) {
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -31,8 +31,8 @@
 	lastRefill time.Duration
 }
 
-// Succeeded records a successful request.
-func (a *Allowance) Succeeded(now time.Duration) {
+// RecordSuccess records a successful request.
+func (a *Allowance) RecordSuccess(now time.Duration) {
 	a.refill(now)
 	a.tokens = min(Capacity, a.tokens+Ratio)
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -21,7 +21,7 @@
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 2)).Draw(t, "steps") {
 			switch step {
 			case 0:
-				a.Succeeded(now)
+				a.RecordSuccess(now)
 				successes++
 			case 1:
 				if a.Take(now) {
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -13,12 +13,12 @@
 	Address string
 	// Slots is the number of requests that the backend server handles at once.
 	Slots int
-	// Cold is the remaining time for which the backend server is slow after its
+	// ColdRemaining is the remaining time for which the backend server is slow after its
 	// start.
-	Cold time.Duration
-	// Started is the time at which the backend server started, by its own wall
+	ColdRemaining time.Duration
+	// StartedAt is the time at which the backend server started, by its own wall
 	// clock. It differs between the runs of one server.
-	Started time.Time
+	StartedAt time.Time
 	// Sequence numbers the heartbeats of one run.
 	Sequence uint64
 	// State tells whether the backend server accepts new requests.
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -140,14 +140,14 @@
 	e.retained = e.request.Header.Get(HeaderIdempotencyKey) != ""
 	complete := e.copyBody(response)
 	if !complete && e.download.resumable() && e.request.Context().Err() == nil {
-		e.handler.loop.Post(node.AnswerBroken{Call: e.call.ID})
+		e.handler.loop.Post(node.ResponseTruncated{Call: e.call.ID})
 		return false
 	}
 	end, ok := response.End()
 	if !ok {
 		end.Attempts = -1
 	}
-	e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Whole: complete, Answer: e.retainedResponse(response, complete)})
+	e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Complete: complete, Answer: e.retainedResponse(response, complete)})
 	if !complete {
 		response.Close()
 		panic(http.ErrAbortHandler)
--- a/io/document/watch.go
+++ b/io/document/watch.go
@@ -36,15 +36,15 @@
 type Options struct {
 	// Source provides the document.
 	Source coltsfootward.Documents
-	// Duty returns the node's present task.
-	Duty func() node.DocumentDuty
-	// Found is called with each document that was read.
-	Found func(coltsfootward.Document)
-	// Failed is called with the error of each call that failed or returned an
+	// Task returns the node's present task.
+	Task func() node.DocumentTask
+	// OnDocument is called with each document that was read.
+	OnDocument func(coltsfootward.Document)
+	// OnError is called with the error of each call that failed or returned an
 	// invalid document.
-	Failed func(error)
-	// Answered is called after each call that the platform responded to.
-	Answered func()
+	OnError func(error)
+	// OnResponse is called after each call that the platform responded to.
+	OnResponse func()
 }
 
 // Watcher watches the document until Close. Create it with New.
@@ -77,7 +77,7 @@
 	var last coltsfootward.Document
 	backoff := minimumBackoff
 	for w.ctx.Err() == nil {
-		task := w.options.Duty()
+		task := w.options.Task()
 		switch task {
 		case node.DocumentAwaited:
 			w.sleep(awaitInterval)
@@ -94,7 +94,7 @@
 			next, err = w.read()
 		}
 		if err != nil && w.ctx.Err() == nil {
-			w.options.Failed(err)
+			w.options.OnError(err)
 		}
 		if !responded(err) {
 			haveLast = haveLast && !errors.Is(err, coltsfootward.ErrHistoryLost)
@@ -105,8 +105,8 @@
 		backoff = minimumBackoff
 		haveLast = true
 		last = next
-		w.options.Answered()
-		w.options.Found(next)
+		w.options.OnResponse()
+		w.options.OnDocument(next)
 		if next.Configuration.Revision() == 0 && task == node.DocumentRead {
 			w.sleep(missingDocumentDelay)
 		}
--- a/io/document/watch_test.go
+++ b/io/document/watch_test.go
@@ -43,21 +43,21 @@
 	return s.reads, s.changes
 }
 
-func watch(t *testing.T, s *source, duty node.DocumentDuty, d time.Duration) (reads, changes, found int) {
+func watch(t *testing.T, s *source, duty node.DocumentTask, d time.Duration) (reads, changes, found int) {
 	t.Helper()
 	var mu sync.Mutex
 	w := document.New(document.Options{
 		Source: s,
-		Duty:   func() node.DocumentDuty { return duty },
-		Found: func(d coltsfootward.Document) {
+		Task:   func() node.DocumentTask { return duty },
+		OnDocument: func(d coltsfootward.Document) {
 			mu.Lock()
 			defer mu.Unlock()
 			if d.Configuration.Revision() > 0 {
 				found++
 			}
 		},
-		Failed:   func(error) {},
-		Answered: func() {},
+		OnError:    func(error) {},
+		OnResponse: func() {},
 	})
 	time.Sleep(d)
 	w.Close()
--- a/io/iotest/node.go
+++ b/io/iotest/node.go
@@ -97,7 +97,7 @@
 	clock := loop.NewClock()
 	n.Transport = peer.NewTransport(options.Self, clock.Now, n, listener)
 	machine := node.New(options, rand.New(rand.NewPCG(rand.Uint64(), 1)), clock.Now())
-	n.Loop = loop.New(machine, clock, loop.Outlets{
+	n.Loop = loop.New(machine, clock, loop.Handlers{
 		Send: n.Transport.Send, Table: table, Report: n.report, Drained: func() {},
 	})
 	n.upstream = upstream.New(n.Loop, clock)
--- a/io/loop/close_test.go
+++ b/io/loop/close_test.go
@@ -47,7 +47,7 @@
 		Self:    coltsfootward.Instance{ID: "north-1", Domain: "north", Incarnation: 1},
 		Domains: []coltsfootward.FailureDomain{"north"},
 	}.WithDefaults()
-	l := loop.New(node.New(options, rand.New(rand.NewPCG(1, 1)), clock.Now()), clock, loop.Outlets{
+	l := loop.New(node.New(options, rand.New(rand.NewPCG(1, 1)), clock.Now()), clock, loop.Handlers{
 		Send:    func(coltsfootward.Instance, message.Message) {},
 		Table:   table,
 		Report:  func(record.Record) {},
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -27,19 +27,19 @@
 	tableTimeout = 2 * time.Second
 )
 
-// Outlets are the functions that execute the actions which belong to no call. They
+// Handlers are the functions that execute the actions which belong to no call. They
 // run on the state machine's goroutine and must not block, except for the methods of
 // Table, which run on goroutines of their own.
-type Outlets struct {
+type Handlers struct {
 	// Send sends a message to a peer.
 	Send func(to coltsfootward.Instance, m message.Message)
 	// Table is the platform's table.
 	Table coltsfootward.Table
 	// Report writes a record to the log and the timeline.
 	Report func(record.Record)
-	// InForce, if not nil, is called with each full configuration that comes into
+	// ConfigurationInForce, if not nil, is called with each full configuration that comes into
 	// force.
-	InForce func(coltsfootward.Configuration)
+	ConfigurationInForce func(coltsfootward.Configuration)
 	// CheckBackend, if not nil, starts a health check of the backend server.
 	CheckBackend func()
 	// Drained is called once a drain is complete.
@@ -63,7 +63,7 @@
 type Loop struct {
 	machine         *node.Node
 	clock           *Clock
-	outlets         Outlets
+	handlers        Handlers
 	events          chan queueEntry
 	tableOperations chan func(context.Context)
 	// ctx is cancelled when the loop is closed. It is the parent of the contexts of
@@ -78,11 +78,11 @@
 }
 
 // New returns a loop that runs the state machine until Close.
-func New(machine *node.Node, clock *Clock, outlets Outlets) *Loop {
+func New(machine *node.Node, clock *Clock, handlers Handlers) *Loop {
 	l := &Loop{
 		machine:         machine,
 		clock:           clock,
-		outlets:         outlets,
+		handlers:        handlers,
 		events:          make(chan queueEntry, eventQueueSize),
 		tableOperations: make(chan func(context.Context), tableQueueSize),
 		calls:           make(map[node.CallID]chan node.Action),
@@ -166,8 +166,8 @@
 	for _, action := range actions {
 		l.execute(action)
 	}
-	if l.outlets.Observe != nil {
-		l.outlets.Observe(Observation{Event: event, Actions: actions, Waited: started.Sub(queuedAt), Took: time.Since(started)})
+	if l.handlers.Observe != nil {
+		l.handlers.Observe(Observation{Event: event, Actions: actions, Waited: started.Sub(queuedAt), Took: time.Since(started)})
 	}
 }
 
@@ -181,38 +181,38 @@
 		l.deliver(a.Call, a)
 	case node.Replay:
 		l.deliver(a.Call, a)
-	case node.EndAnswer:
+	case node.EndResponse:
 		l.deliver(a.Call, a)
 	case node.CancelAttempt:
 		l.deliver(a.Call, a)
 	case node.CancelDispatch:
 		l.deliver(a.Call, a)
 	case node.Send:
-		l.outlets.Send(a.To, a.Message)
+		l.handlers.Send(a.To, a.Message)
 	case node.ConfigurationInForce:
-		if l.outlets.InForce != nil {
-			l.outlets.InForce(a.Configuration)
+		if l.handlers.ConfigurationInForce != nil {
+			l.handlers.ConfigurationInForce(a.Configuration)
 		}
 	case node.CheckBackend:
-		if l.outlets.CheckBackend != nil {
-			l.outlets.CheckBackend()
+		if l.handlers.CheckBackend != nil {
+			l.handlers.CheckBackend()
 		}
 	case node.Report:
-		l.outlets.Report(a.Record)
+		l.handlers.Report(a.Record)
 	case node.Drained:
-		l.outlets.Drained()
+		l.handlers.Drained()
 	case node.ReadTable:
 		l.tableOperation(a.Operation, func(ctx context.Context) ([]coltsfootward.Row, error) {
-			row, err := l.outlets.Table.Read(ctx, a.Key)
+			row, err := l.handlers.Table.Read(ctx, a.Key)
 			return []coltsfootward.Row{row}, err
 		})
 	case node.ScanTable:
 		l.tableOperation(a.Operation, func(ctx context.Context) ([]coltsfootward.Row, error) {
-			return l.outlets.Table.Scan(ctx, a.Prefix, a.After, a.Limit)
+			return l.handlers.Table.Scan(ctx, a.Prefix, a.After, a.Limit)
 		})
 	case node.TransactTable:
 		l.tableOperation(a.Operation, func(ctx context.Context) ([]coltsfootward.Row, error) {
-			return nil, l.outlets.Table.Transact(ctx, a.Transaction)
+			return nil, l.handlers.Table.Transact(ctx, a.Transaction)
 		})
 	}
 }
@@ -226,12 +226,12 @@
 		if err != nil && !errors.Is(err, coltsfootward.ErrConflict) {
 			err = coltsfootward.ErrUnavailable
 		}
-		l.Post(node.TableAnswered{Operation: id, Rows: rows, Err: err})
+		l.Post(node.TableResult{Operation: id, Rows: rows, Err: err})
 	}
 	select {
 	case l.tableOperations <- operation:
 	default:
-		l.wait.Go(func() { l.Post(node.TableAnswered{Operation: id, Err: coltsfootward.ErrUnavailable}) })
+		l.wait.Go(func() { l.Post(node.TableResult{Operation: id, Err: coltsfootward.ErrUnavailable}) })
 	}
 }
 
--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -200,7 +200,7 @@
 
 func changeError(err error) error {
 	for code, kinds := range map[connect.Code][]any{
-		connect.CodeFailedPrecondition: {new(*configuration.UnknownOrganisationError), new(*configuration.WithdrawnError)},
+		connect.CodeFailedPrecondition: {new(*configuration.UnknownOrganisationError), new(*configuration.KeyWithdrawnError)},
 		connect.CodeAlreadyExists:      {new(*configuration.ChangeIDError), new(*configuration.KeyReusedError)},
 		connect.CodeUnavailable:        {new(*configuration.BusyError)},
 	} {
@@ -214,7 +214,7 @@
 	if errors.As(err, &conflict) {
 		return connect.NewError(connect.CodeAborted, err)
 	}
-	var doubt *configuration.DoubtError
+	var doubt *configuration.UnknownOutcomeError
 	if errors.As(err, &doubt) {
 		return connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/io/peer/call.go
+++ b/io/peer/call.go
@@ -29,7 +29,7 @@
 
 // Answer is a peer's answer: its head, and its body as it arrives.
 type Answer struct {
-	Head   message.Answer
+	Head   message.Response
 	stream *stream
 }
 
@@ -38,12 +38,12 @@
 func (a *Answer) Read(p []byte) (int, error) { return a.stream.Read(p) }
 
 // End returns the answer's end and true once the body is whole.
-func (a *Answer) End() (message.End, bool) {
+func (a *Answer) End() (message.ResponseEnd, bool) {
 	select {
 	case <-a.stream.ended:
 		return a.stream.end, true
 	default:
-		return message.End{}, false
+		return message.ResponseEnd{}, false
 	}
 }
 
@@ -136,7 +136,7 @@
 	if _, err := s.write(ctx, body); err != nil {
 		return err
 	}
-	return s.connection.sendValue(frameEnd, s.id, &message.End{})
+	return s.connection.sendValue(frameEnd, s.id, &message.ResponseEnd{})
 }
 
 // AnswerWriter answers one call. It is not safe for concurrent use.
@@ -147,13 +147,13 @@
 }
 
 // Head sends the answer's head. It is called once, before Write.
-func (w *AnswerWriter) Head(head message.Answer) error {
+func (w *AnswerWriter) Head(head message.Response) error {
 	return w.stream.connection.sendValue(frameAnswer, w.stream.id, &head)
 }
 
 // Whole sends an answer with its body and end. It is called in place of Head, Write and
 // End, and spares both sides two of three frames where the body fits into one.
-func (w *AnswerWriter) Whole(head message.Answer, body []byte, end message.End) error {
+func (w *AnswerWriter) Whole(head message.Response, body []byte, end message.ResponseEnd) error {
 	if len(body) <= chunkSize {
 		w.ended = true
 		return w.stream.connection.sendValue(frameWhole, w.stream.id, &wholeAnswer{Head: head, Body: body, End: end})
@@ -171,7 +171,7 @@
 func (w *AnswerWriter) Write(p []byte) (int, error) { return w.stream.write(w.ctx, p) }
 
 // End marks the answer as whole.
-func (w *AnswerWriter) End(end message.End) error {
+func (w *AnswerWriter) End(end message.ResponseEnd) error {
 	w.ended = true
 	return w.stream.connection.sendValue(frameEnd, w.stream.id, &end)
 }
--- a/io/peer/concurrent_test.go
+++ b/io/peer/concurrent_test.go
@@ -21,11 +21,11 @@
 	if _, err := io.Copy(io.Discard, call.Body); err != nil {
 		return
 	}
-	if w.Head(message.Answer{Status: 200}) != nil {
+	if w.Head(message.Response{Status: 200}) != nil {
 		return
 	}
 	if _, err := io.WriteString(w, call.Head.Path); err == nil {
-		_ = w.End(message.End{}) // the caller sees a truncated answer otherwise
+		_ = w.End(message.ResponseEnd{}) // the caller sees a truncated answer otherwise
 	}
 }
 
--- a/io/peer/frame.go
+++ b/io/peer/frame.go
@@ -103,9 +103,9 @@
 
 // wholeAnswer is the payload of a whole answer.
 type wholeAnswer struct {
-	Head message.Answer `msgpack:"head"`
-	Body []byte         `msgpack:"body"`
-	End  message.End    `msgpack:"end"`
+	Head message.Response    `msgpack:"head"`
+	Body []byte              `msgpack:"body"`
+	End  message.ResponseEnd `msgpack:"end"`
 }
 
 // wholeFields is how many fields a whole answer has on the wire.
--- a/io/peer/hostile_test.go
+++ b/io/peer/hostile_test.go
@@ -42,7 +42,7 @@
 // A broken or hostile program connects to a node's port for peers. The node
 // must refuse what it sends, close that connection, and lose nothing else.
 func TestHostileBytesCloseOnlyTheirConnection(t *testing.T) {
-	end := peer.EncodeFrame(peer.NewFrame("end", 1, peer.Encode(&message.End{})))
+	end := peer.EncodeFrame(peer.NewFrame("end", 1, peer.Encode(&message.ResponseEnd{})))
 	good := helloFrame(peer.ProtocolVersion)
 	for _, test := range []struct {
 		name string
@@ -111,7 +111,7 @@
 		if f.Kind != peer.FrameAnswer {
 			continue
 		}
-		var head message.Answer
+		var head message.Response
 		if err := peer.Decode(f.Payload, &head); err != nil {
 			t.Fatal(err)
 		}
@@ -187,8 +187,8 @@
 		_, err := peer.DecodeMessage(data)
 		checkTyped(t, err)
 		checkTyped(t, peer.Decode(data, &message.Call{}))
-		checkTyped(t, peer.Decode(data, &message.Answer{}))
-		checkTyped(t, peer.Decode(data, &message.End{}))
+		checkTyped(t, peer.Decode(data, &message.Response{}))
+		checkTyped(t, peer.Decode(data, &message.ResponseEnd{}))
 	})
 }
 
--- a/io/peer/stream.go
+++ b/io/peer/stream.go
@@ -21,7 +21,7 @@
 	// departure says whether a byte of the call may have left this node.
 	departure atomic.Int32
 	// head receives the answer's head, on the side that opened the call.
-	head chan message.Answer
+	head chan message.Response
 	// chunks receives the body. Its size is the window, so a peer that keeps
 	// to the window never finds it full.
 	chunks chan []byte
@@ -36,7 +36,7 @@
 	ended chan struct{}
 	// endTaken is set by the first end frame.
 	endTaken atomic.Bool
-	end      message.End
+	end      message.ResponseEnd
 	err      error
 	rest     []byte
 }
@@ -63,7 +63,7 @@
 	s := &stream{
 		connection: c,
 		id:         id,
-		head:       make(chan message.Answer, 1),
+		head:       make(chan message.Response, 1),
 		chunks:     make(chan []byte, windowChunks),
 		credits:    make(chan struct{}, windowChunks),
 		done:       make(chan struct{}),
@@ -109,14 +109,14 @@
 }
 
 func (s *stream) takeHead(payload []byte) error {
-	var head message.Answer
+	var head message.Response
 	if err := decode(payload, &head); err != nil {
 		return err
 	}
 	return s.answer(head)
 }
 
-func (s *stream) answer(head message.Answer) error {
+func (s *stream) answer(head message.Response) error {
 	select {
 	case s.head <- head:
 		return nil
@@ -167,7 +167,7 @@
 }
 
 func (s *stream) takeEnd(payload []byte) error {
-	var end message.End
+	var end message.ResponseEnd
 	if err := decode(payload, &end); err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 }
 
 // finish notes that the peer's body is whole.
-func (s *stream) finish(end message.End) error {
+func (s *stream) finish(end message.ResponseEnd) error {
 	if s.endTaken.Swap(true) {
 		return &FrameError{Reason: "second end of one body"}
 	}
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -321,11 +321,11 @@
 func (t *Transport) refuseCall(c *connection, id uint32) error {
 	refusal := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, "too many calls are open on one connection").
 		WithRetryAfter(time.Second)
-	head, err := encode(&message.Answer{Refusal: &refusal})
+	head, err := encode(&message.Response{Refusal: &refusal})
 	if err != nil {
 		return err
 	}
-	end, err := encode(&message.End{})
+	end, err := encode(&message.ResponseEnd{})
 	if err != nil {
 		return err
 	}
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -173,13 +173,13 @@
 	case <-ctx.Done():
 		return
 	}
-	if w.Head(message.Answer{Status: 200}) != nil {
+	if w.Head(message.Response{Status: 200}) != nil {
 		return
 	}
 	if _, err := w.Write(append(sent, body(call.Head.Path)...)); err != nil {
 		return
 	}
-	_ = w.End(message.End{Attempts: 1})
+	_ = w.End(message.ResponseEnd{Attempts: 1})
 }
 
 // Hundreds of calls share one connection. Answers come late and out of order,
@@ -300,7 +300,7 @@
 			answerBody(ctx, call, w)
 			return
 		}
-		_ = w.Head(message.Answer{Status: 200})
+		_ = w.Head(message.Response{Status: 200})
 		for {
 			if _, err := w.Write(make([]byte, 64<<10)); err != nil {
 				return
@@ -328,9 +328,9 @@
 	for range 20 {
 		queued := make(chan struct{})
 		p := newPair(t, func(_ context.Context, _ peer.IncomingCall, w *peer.AnswerWriter) {
-			_ = w.Head(message.Answer{Status: 200})
+			_ = w.Head(message.Response{Status: 200})
 			_, _ = w.Write(want)
-			_ = w.End(message.End{Attempts: 1})
+			_ = w.End(message.ResponseEnd{Attempts: 1})
 			close(queued)
 		})
 		answer, err := p.client.Call(context.Background(), p.instance, message.Call{Path: "/last"}, nil)
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -110,13 +110,13 @@
 
 // sendEnd sends the end of the response, together with the response itself if it is
 // buffered. Errors are ignored, since the entry node may have disconnected.
-func (d *dispatch) sendEnd(a node.EndAnswer) {
-	end := message.End{Attempts: a.Attempts, Needed: a.Needed}
+func (d *dispatch) sendEnd(a node.EndResponse) {
+	end := message.ResponseEnd{Attempts: a.Attempts, Needed: a.Needed}
 	if d.buffered == nil {
 		_ = d.writer.End(end)
 		return
 	}
-	head := message.Answer{Status: d.buffered.status, Header: d.buffered.header, Load: a.Load}
+	head := message.Response{Status: d.buffered.status, Header: d.buffered.header, Load: a.Load}
 	_ = d.writer.Whole(head, d.buffered.body, end)
 }
 
@@ -125,7 +125,7 @@
 func (d *dispatch) sendHead(response *http.Response, first []byte) node.DispatchKind {
 	var load message.Load
 	d.server.loop.Inspect(func(n *node.Node) { load = n.LoadFor(d.head) })
-	head := message.Answer{Status: response.StatusCode, Header: d.responseFields(response.Header), Load: load}
+	head := message.Response{Status: response.StatusCode, Header: d.responseFields(response.Header), Load: load}
 	if d.writer.Head(head) != nil {
 		return node.DispatchCancelled
 	}
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -138,7 +138,7 @@
 					return
 				}
 				cancelled = nil
-			case node.EndAnswer:
+			case node.EndResponse:
 				current.sendEnd(a)
 				return
 			}
@@ -152,8 +152,8 @@
 }
 
 func writeRefusal(w *peer.AnswerWriter, a node.Refuse) {
-	head := message.Answer{Refusal: &a.Refusal, Load: a.Load}
-	_ = w.Whole(head, nil, message.End{Attempts: a.Attempts}) // the entry node may have disconnected
+	head := message.Response{Refusal: &a.Refusal, Load: a.Load}
+	_ = w.Whole(head, nil, message.ResponseEnd{Attempts: a.Attempts}) // the entry node may have disconnected
 }
 
 // dispatch is one request to the backend server.
