--- a/core/message/codec.go
+++ b/core/message/codec.go
@@ -18,7 +18,7 @@
 	callFields     = 21
 	loadFields     = 8
 	pressureFields = 3
-	answerFields   = 4
+	responseFields = 4
 	endFields      = 2
 	drawFields     = 7
 	grantFields    = 8
@@ -86,8 +86,9 @@
 // length reads the number of elements that follow.
 func (r *reader) length() int { return max(read(r, r.decoder.DecodeArrayLen), 0) }
 
-// maximumPreallocation bounds the number of values for which memory is allocated in advance
-// on the strength of a length that a peer sent.
+// maximumPreallocation bounds the number of values for which memory is allocated in
+// advance for a length that a peer sent. A malformed length can therefore not allocate
+// much memory.
 const maximumPreallocation = 64
 
 func (r *reader) header() map[string][]string {
@@ -234,32 +235,32 @@
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (a *Response) EncodeMsgpack(encoder *msgpack.Encoder) error {
+func (resp *Response) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	w := writer{encoder: encoder}
-	w.fields(answerFields)
-	w.number(int64(a.Status))
-	w.header(a.Header)
-	w.flag(a.Refusal != nil)
-	if a.Refusal != nil {
-		w.setError(encoder.Encode(a.Refusal))
+	w.fields(responseFields)
+	w.number(int64(resp.Status))
+	w.header(resp.Header)
+	w.flag(resp.Refusal != nil)
+	if resp.Refusal != nil {
+		w.setError(encoder.Encode(resp.Refusal))
 	}
-	w.setError(a.Load.EncodeMsgpack(encoder))
+	w.setError(resp.Load.EncodeMsgpack(encoder))
 	return w.err
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (a *Response) DecodeMsgpack(decoder *msgpack.Decoder) error {
+func (resp *Response) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	r := reader{decoder: decoder}
-	r.fields(answerFields)
-	a.Status = int(r.number())
-	a.Header = r.header()
-	a.Refusal = nil
+	r.fields(responseFields)
+	resp.Status = int(r.number())
+	resp.Header = r.header()
+	resp.Refusal = nil
 	if refused := r.flag(); refused && r.err == nil {
-		a.Refusal = new(coltsfootward.Refusal)
-		r.err = decoder.Decode(a.Refusal)
+		resp.Refusal = new(coltsfootward.Refusal)
+		r.err = decoder.Decode(resp.Refusal)
 	}
 	if r.err == nil {
-		r.err = a.Load.DecodeMsgpack(decoder)
+		r.err = resp.Load.DecodeMsgpack(decoder)
 	}
 	return r.err
 }
--- a/core/message/membership.go
+++ b/core/message/membership.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// MemberUpdate is a membership update: the announcement and the state of one member, reported
-// by the member itself or by another.
+// MemberUpdate is a membership update: the announcement and the state of one member,
+// reported by the member itself or by another.
 type MemberUpdate struct {
 	//lint:ignore U1000 msgpack reads the tag of this field
 	_msgpack     struct{}     `msgpack:",as_array"`
@@ -71,17 +71,17 @@
 	State        MemberState  `msgpack:"state"`
 }
 
-// Newer reports whether n overrides old. An update with a lower incarnation or version
+// Newer reports whether u overrides old. An update with a lower incarnation or version
 // never does, in whatever order updates arrive.
-func (n MemberUpdate) Newer(old MemberUpdate) bool {
-	a, b := n.Announcement, old.Announcement
+func (u MemberUpdate) Newer(old MemberUpdate) bool {
+	a, b := u.Announcement, old.Announcement
 	if a.Instance.Incarnation != b.Instance.Incarnation {
 		return a.Instance.Incarnation > b.Instance.Incarnation
 	}
 	if a.Version != b.Version {
 		return a.Version > b.Version
 	}
-	return n.State.Rank() > old.State.Rank()
+	return u.State.Rank() > old.State.Rank()
 }
 
 // Gossip carries membership updates and the configuration digest. It is part of every
--- a/core/message/message.go
+++ b/core/message/message.go
@@ -92,8 +92,8 @@
 	// does not read it.
 	Header   map[string][]string    `msgpack:"header"`
 	Priority coltsfootward.Priority `msgpack:"priority"`
-	// SecondaryPriority is a secondary priority that orders requests with equal Priority. It is
-	// set where the organisation's priority takes precedence over the route's.
+	// SecondaryPriority orders requests with equal Priority. It is set where the
+	// organisation's priority takes precedence over the route's.
 	SecondaryPriority coltsfootward.Priority `msgpack:"second,omitempty"`
 	// ShedRank orders requests for load shedding; a lower rank is more important. It is
 	// the same for all calls of one request's call tree.
@@ -132,7 +132,7 @@
 	Caller coltsfootward.ServiceName `msgpack:"caller,omitempty"`
 }
 
-// Load is the load report that an upstream's node sends with every answer.
+// Load is the load report that an upstream's node sends with every Response.
 type Load struct {
 	// Running is the number of requests that the upstream is serving.
 	Running int `msgpack:"running"`
@@ -152,8 +152,8 @@
 	// Cost is the slot time in seconds that one request of this class uses at the
 	// upstream; zero if it is not known.
 	Cost float64 `msgpack:"cost,omitempty"`
-	// Downstream contains the excess and the cost for each downstream service that requests
-	// of this class call, directly or indirectly.
+	// Downstream contains the excess and the cost for each downstream service that
+	// requests of this class call, directly or indirectly.
 	Downstream []Pressure `msgpack:"below,omitempty"`
 }
 
@@ -174,7 +174,8 @@
 	Load    Load                   `msgpack:"load"`
 }
 
-// ResponseEnd terminates an answer after its body. An answer without an ResponseEnd is truncated.
+// ResponseEnd terminates a response after its body. A response without a ResponseEnd is
+// truncated.
 type ResponseEnd struct {
 	// Attempts is the number of attempts that this call and its child calls used.
 	Attempts int `msgpack:"attempts"`
--- a/core/message/rate.go
+++ b/core/message/rate.go
@@ -30,8 +30,8 @@
 	Organisation coltsfootward.OrganisationName `msgpack:"organisation"`
 	Domain       coltsfootward.FailureDomain    `msgpack:"domain"`
 	Slot         int                            `msgpack:"slot"`
-	// Need is the number of requests that wait for a token, Ahead the number of further
-	// requests that are expected.
+	// Need is the number of requests that wait for a token, Prefetch the number of
+	// further requests that are expected.
 	Need     int64 `msgpack:"need"`
 	Prefetch int64 `msgpack:"ahead"`
 	// From is the instance to which the grant is sent.
@@ -46,16 +46,16 @@
 	ID uint64 `msgpack:"id"`
 	// IsHolder is set if the sender holds the slot. Otherwise no tokens are granted.
 	IsHolder bool `msgpack:"held"`
-	// Holder is the holder that a sender which is not the holder refers to. Its ID is
-	// empty if the sender does not know the holder.
+	// Holder is the slot's holder if the sender is not. Its ID is empty if the sender
+	// does not know the holder.
 	Holder coltsfootward.Instance `msgpack:"ask"`
 	Epoch  uint64                 `msgpack:"epoch"`
 	// Tokens is the number of tokens granted.
 	Tokens int64 `msgpack:"tokens"`
 	// Lifetime is the lifetime of the tokens, measured from before the draw was sent.
 	Lifetime time.Duration `msgpack:"life"`
-	// RetryAfter is the delay after which to draw again if fewer tokens than needed were
-	// granted.
+	// RetryAfter is the delay after which to draw again if fewer tokens than needed
+	// were granted.
 	RetryAfter time.Duration `msgpack:"empty_for"`
 	// Remaining is the number of tokens that remain at the holder.
 	Remaining int64 `msgpack:"level"`
--- a/core/message/stamped.go
+++ b/core/message/stamped.go
@@ -3,8 +3,8 @@
 import "coltsfootward/core/record"
 
 // Stamped is embedded in messages that carry a stamp of the sender's hybrid clock, by
-// which the timelines of all nodes are merged into one order. The driver
-// of a node sets and reads it; package node does not.
+// which the timelines of all nodes are merged into one order. The driver of a node sets
+// and reads it; package node does not.
 type Stamped struct {
 	Stamp record.Stamp `msgpack:"stamp"`
 }
