--- a/cmd/settings/table.go
+++ b/cmd/settings/table.go
@@ -75,7 +75,7 @@
 		integer("claims.maximum", "keys", "Bounds the keys remembered for each slot that the node holds; further ones are refused as claim.", 100, 10_000_000,
 			func(s *Settings) *int { return &s.Node.MaximumClaims }),
 		integer("claims.kept_answers", "bytes", "Bounds the memory for answers kept for repeats, for each slot that the node holds.", 1, 1<<30,
-			func(s *Settings) *int { return &s.Node.KeptAnswerBytes }),
+			func(s *Settings) *int { return &s.Node.RetainedAnswerBytes }),
 
 		choice("log.level", "The least level that is logged.", []string{"debug", "info", "warn", "error"},
 			func(s *Settings) *string { return &s.Log.Level }),
--- a/core/node/action.go
+++ b/core/node/action.go
@@ -45,7 +45,8 @@
 	// checks it once more just before it sends the first byte. Zero means no
 	// limit.
 	StartBy time.Duration
-	// Unrepeatable requests must not be sent twice by a retry of the transport.
+	// Unrepeatable is set for a request that the transport must not send a
+	// second time.
 	Unrepeatable bool
 }
 
@@ -56,14 +57,14 @@
 	Answer claim.Answer
 }
 
-// EndResponse ends a peer's call whose response is complete: either all of it but
-// the end marker has been passed on, or it is ready to be sent together with
-// the end marker. Attempts is computed in the same step that invalidates the
-// call's token. Child calls that the backend server makes later are refused, so
-// none can escape the count.
+// EndResponse ends a peer's call whose response is complete. Either everything
+// but the end marker has been forwarded already, or the response is ready to be
+// sent together with the end marker. Attempts is computed in the same step that
+// invalidates the call's token. Child calls that the backend server makes later
+// are refused, so none can escape the count.
 type EndResponse struct {
 	Call CallID
-	// Load is sent to the peer with a response that has not been passed on yet.
+	// Load is sent to the peer with a response that has not been forwarded yet.
 	Load message.Load
 	// Attempts is the number of attempts used by the call and everything below
 	// it.
@@ -85,13 +86,13 @@
 	Message message.Message
 }
 
-// ReadTable reads one row. The driver reports the result as TableAnswered.
+// ReadTable reads one row. The driver reports the result as TableResult.
 type ReadTable struct {
 	Operation OperationID
 	Key       string
 }
 
-// ScanTable scans rows. The driver reports the result as TableAnswered.
+// ScanTable scans rows. The driver reports the result as TableResult.
 type ScanTable struct {
 	Operation OperationID
 	Prefix    string
@@ -100,7 +101,7 @@
 }
 
 // TransactTable runs a transaction. The driver reports the result as
-// TableAnswered.
+// TableResult.
 type TransactTable struct {
 	Operation   OperationID
 	Transaction coltsfootward.Transaction
@@ -109,8 +110,8 @@
 // ConfigurationInForce reports that a full configuration has come into force.
 type ConfigurationInForce struct{ Configuration coltsfootward.Configuration }
 
-// CheckBackend requests a health check of the local backend server.
-// BackendChecked follows if the server responds.
+// CheckBackend requests a health check of the local backend server. The driver
+// reports BackendChecked if the server responds.
 type CheckBackend struct{}
 
 // Report adds a record to the log and the timeline.
--- a/core/node/bucket.go
+++ b/core/node/bucket.go
@@ -40,7 +40,7 @@
 	g := p.bucket(m.Organisation, m.Slot, term).Draw(p.node.now, m.Need, m.Prefetch)
 	return message.Grant{
 		ID: m.ID, IsHolder: true,
-		Tokens: g.Tokens, Lifetime: g.Lifetime, RetryAfter: g.RetryAfter, Remaining: g.Level,
+		Tokens: g.Tokens, Lifetime: g.Lifetime, RetryAfter: g.RetryAfter, Remaining: g.Remaining,
 	}
 }
 
@@ -50,7 +50,7 @@
 	if !ok {
 		return rate.NewBucket(rate.Part{}, p.node.now.Monotonic)
 	}
-	part := a.share.Part(p.node.now, p.node.options.Self.Domain, index)
+	part := a.division.Part(p.node.now, p.node.options.Self.Domain, index)
 	id := bucketID{slot: index, organisation: organisation}
 	held, ok := p.buckets[id]
 	if !ok || held.epoch != term.epoch {
@@ -72,9 +72,9 @@
 // starts empty as well, since the share that a part gains may have been granted
 // at another part.
 func (p *rateComponent) newBucket(a *account, term slotTerm, part rate.Part) *rate.Bucket {
-	since := max(term.began.Monotonic, a.share.EffectiveAt())
+	since := max(term.began.Monotonic, a.division.EffectiveAt())
 	unused := term.first || (a.creationSeen && a.firstSeen >= term.began.Monotonic+p.node.options.ConfigurationSpread)
-	if unused && a.share.EffectiveAt() == 0 {
+	if unused && a.division.EffectiveAt() == 0 {
 		return rate.NewFullBucket(part, since)
 	}
 	return rate.NewBucket(part, since)
--- a/core/node/claims.go
+++ b/core/node/claims.go
@@ -27,9 +27,9 @@
 	// does not reach the holder, the holder treats the request as running until
 	// the claim's window has passed.
 	maxClaimEndSends = 25
-	// MaximumKeptAnswer is the maximum body size, in bytes, of an answer that
-	// is retained for repeated requests.
-	MaximumKeptAnswer = 16 << 10
+	// MaximumRetainedAnswerBytes is the maximum body size, in bytes, of an
+	// answer that is retained for repeated requests.
+	MaximumRetainedAnswerBytes = 16 << 10
 )
 
 // entryClaim is a request's claim at its entry node.
@@ -57,8 +57,8 @@
 	resendAt time.Duration
 }
 
-// claimsComponent deduplicates requests by idempotency key over all nodes. Each key
-// belongs to one slot, and only the holder of that slot's lease grants it.
+// claimsComponent deduplicates requests by idempotency key over all nodes. Each
+// key belongs to one slot, and only the holder of that slot's lease grants it.
 type claimsComponent struct {
 	node  *Node
 	slots slotDirectory
@@ -87,7 +87,7 @@
 }
 
 // claim requests a claim for the call. The call then continues with
-// entryPart.claimed, or it is refused.
+// entryComponent.claimGranted, or it is refused.
 func (p *claimsComponent) claim(call *entryCall) {
 	key := claim.Key{Organisation: call.head.Organisation, Text: call.head.IdempotencyKey}
 	c := &entryClaim{
@@ -172,9 +172,9 @@
 	}
 	if m.Verdict.Decision == claim.Elsewhere {
 		p.slots.noteHolder(c.slot, m.Holder)
-		// The next candidate may hold the slot. If no candidate does, the
-		// request goes to the slot's holder of that time after
-		// claimResendInterval.
+		// The next candidate may hold the slot. If none of the candidates does,
+		// the request is sent again after claimResendInterval, to the node that
+		// is assumed to hold the slot by then.
 		c.redirects++
 		if c.redirects%slotWatchers != 0 {
 			p.sendRequest(c)
--- a/core/node/cold.go
+++ b/core/node/cold.go
@@ -16,9 +16,9 @@
 	// before the backend server is assumed to have restarted: a crash breaks
 	// off all of its requests in flight.
 	restartFailures = 4
-	// coldRetryDelay is the mean delay after the end of the cold period with
-	// which refused callers are asked to return, so that they do not all return
-	// at once.
+	// coldRetryDelay is the mean of a random delay that is added to the end of
+	// the cold period to give the Retry-After of refused callers, so that they
+	// do not all return at once.
 	coldRetryDelay = 500 * time.Millisecond
 	// checkInterval is the time after a health check during which broken-off
 	// requests do not trigger another one.
--- a/core/node/configuration.go
+++ b/core/node/configuration.go
@@ -51,8 +51,8 @@
 	maxDigestWithdrawn = 16
 )
 
-// configurationComponent holds the configuration in force at this node. Its revision
-// never decreases.
+// configurationComponent holds the configuration in force at this node. Its
+// revision never decreases.
 type configurationComponent struct {
 	node    *Node
 	current coltsfootward.Configuration
@@ -86,8 +86,8 @@
 }
 
 // shouldReadTable reports whether this node must read the table now. Besides
-// the failure domain's readers, about one in all running nodes per poll
-// interval reads it while the readers report no successful read, because their
+// the failure domain's readers, on average one of all running nodes reads it in
+// each poll interval while the readers report no successful read, because their
 // connection to the table may be broken.
 func (p *configurationComponent) shouldReadTable() bool {
 	m := p.node.membership.machine
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -75,8 +75,8 @@
 // domains, have the last revision in force.
 func (f *fleet) upToDate(domains ...coltsfootward.FailureDomain) bool {
 	for _, m := range f.members {
-		counts := len(domains) == 0 || slices.Contains(domains, m.Instance.Domain)
-		if m.Alive() && counts && m.Node().Configuration().Revision() != f.submitted {
+		included := len(domains) == 0 || slices.Contains(domains, m.Instance.Domain)
+		if m.Alive() && included && m.Node().Configuration().Revision() != f.submitted {
 			return false
 		}
 	}
@@ -181,22 +181,22 @@
 	f.CutDomain("domain-2", true)
 	f.Run(15 * time.Second)
 	f.changeIdleRate()
-	asked := f.members[3]
+	queried := f.members[3]
 	connected := func() bool {
-		confirmed, _ := f.confirmedDomains(asked)
+		confirmed, _ := f.confirmedDomains(queried)
 		return slices.Equal(confirmed, []coltsfootward.FailureDomain{"domain-0", "domain-1"})
 	}
 	if !f.RunUntil(10*time.Second, connected) {
-		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", asked.Node().InForce(f.submitted))
+		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", queried.Node().InForce(f.submitted))
 	}
 	f.Run(20 * time.Second)
-	if _, waiting := f.confirmedDomains(asked); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
+	if _, waiting := f.confirmedDomains(queried); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
 		t.Errorf("got %v unconfirmed, want domain-2 alone", waiting)
 	}
 	f.HealDomain("domain-2")
 	healed := f.Now()
-	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(asked); return len(confirmed) == 3 }) {
-		t.Errorf("got %v 13 s after the partition, want all confirmed", asked.Node().InForce(f.submitted))
+	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(queried); return len(confirmed) == 3 }) {
+		t.Errorf("got %v 13 s after the partition, want all confirmed", queried.Node().InForce(f.submitted))
 	}
 	t.Logf("confirmed everywhere %v after the partition", f.Now()-healed)
 }
@@ -347,11 +347,11 @@
 	if !f.RunUntil(15*time.Second, func() bool { return f.countAccepting() == 6 }) {
 		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAccepting())
 	}
-	slept := f.members[0]
-	slept.Suspend()
+	suspended := f.members[0]
+	suspended.Suspend()
 	f.Run(time.Hour)
-	woke := acceptsKeyOnResume(slept)
-	if woke {
+	accepted := acceptsKeyOnResume(suspended)
+	if accepted {
 		t.Error("a node that was suspended for 1 h accepted a key before it received a message")
 	}
 }
--- a/core/node/confirmation.go
+++ b/core/node/confirmation.go
@@ -16,9 +16,9 @@
 	// combine the members' confirmations for the collector, so that 1,333
 	// confirmations reach it as 32 messages.
 	relayCount = 32
-	// directLimit is the size from which a failure domain uses relays. In
+	// relayThreshold is the size from which a failure domain uses relays. In
 	// smaller failure domains, confirmations go directly to the collector.
-	directLimit = 2 * relayCount
+	relayThreshold = 2 * relayCount
 	// relayDelay is how long a relay collects confirmations before it forwards
 	// them.
 	relayDelay = 500 * time.Millisecond
@@ -31,9 +31,10 @@
 	// watchTimeout is how long a node continues to send queries after the
 	// operator's last request.
 	watchTimeout = 30 * time.Second
-	// fallbackAfter is the number of unanswered queries after which the second
-	// member of a failure domain is queried in turn with its collector.
-	fallbackAfter = 4
+	// maxUnansweredQueries is the number of unanswered queries after which the
+	// queries to a failure domain alternate between its collector and its
+	// second member.
+	maxUnansweredQueries = 4
 	// maxNamedMembers bounds the outdated members that an answer lists by name.
 	maxNamedMembers = 10
 	// maxReminders bounds the outdated members from which a collector requests
@@ -42,10 +43,10 @@
 	maxReminders = 64
 )
 
-// confirmationComponent determines where a revision is in force. Each failure domain
-// has a collector: the first member in an order that all nodes share. Members
-// send their confirmations to the collector, and the node that serves an
-// operator's request queries the collectors.
+// confirmationComponent determines where a revision is in force. Each failure
+// domain has a collector: the first member in an order that all nodes share.
+// Members send their confirmations to the collector, and the node that serves
+// an operator's request queries the collectors.
 //
 // A collector that has just started may know only a few members of its failure
 // domain and would answer for those alone. Answers therefore contain the number
@@ -124,11 +125,11 @@
 // this node's relay in a large failure domain.
 func (p *confirmationComponent) confirmTo() (coltsfootward.Instance, bool) {
 	self := p.node.options.Self
-	first := p.node.membership.machine.FirstAlive(self.Domain, directLimit)
+	first := p.node.membership.machine.FirstAlive(self.Domain, relayThreshold)
 	if len(first) == 0 {
 		return coltsfootward.Instance{}, false
 	}
-	if len(first) < directLimit {
+	if len(first) < relayThreshold {
 		return first[0], true
 	}
 	return first[1+xxhash.Sum64String(string(self.ID))%relayCount], true
@@ -173,8 +174,8 @@
 	return first[position]
 }
 
-// queryReceived answers a query for the whole failure domain or for this node
-// alone.
+// queryReceived answers a query about the whole failure domain or about this
+// node alone.
 func (p *confirmationComponent) queryReceived(from coltsfootward.InstanceID, m message.ConfirmationQuery) {
 	if m.Domain == "" {
 		p.node.configuration.send(from, &message.Confirmation{Revision: p.node.configuration.current.Revision()})
@@ -191,9 +192,9 @@
 // confirmations from outdated members. Members that are gone do not count: they
 // serve no requests, and when they return they adopt the highest revision that
 // their peers hold.
-func (p *confirmationComponent) collect(asked coltsfootward.Revision) message.DomainConfirmation {
+func (p *confirmationComponent) collect(queried coltsfootward.Revision) message.DomainConfirmation {
 	self := p.node.options.Self
-	answer := message.DomainConfirmation{Domain: self.Domain, Queried: asked, Revision: p.node.configuration.current.Revision()}
+	answer := message.DomainConfirmation{Domain: self.Domain, Queried: queried, Revision: p.node.configuration.current.Revision()}
 	reminded := 0
 	for _, member := range p.node.membership.roster(self.Domain) {
 		id := member.Announcement.Instance.ID
@@ -206,7 +207,7 @@
 		}
 		answer.Members++
 		answer.Revision = min(answer.Revision, revision)
-		if revision >= asked {
+		if revision >= queried {
 			continue
 		}
 		if len(answer.Behind) < maxNamedMembers {
@@ -214,7 +215,7 @@
 		}
 		if reminded < maxReminders && id != self.ID {
 			reminded++
-			p.node.act(Send{To: member.Announcement.Instance, Message: &message.ConfirmationQuery{Revision: asked}})
+			p.node.act(Send{To: member.Announcement.Instance, Message: &message.ConfirmationQuery{Revision: queried}})
 		}
 	}
 	return answer
@@ -229,7 +230,7 @@
 		}
 		p.unanswered[domain]++
 		position := 0
-		if p.unanswered[domain] > fallbackAfter {
+		if p.unanswered[domain] > maxUnansweredQueries {
 			position = p.unanswered[domain] % 2
 		}
 		to := p.collector(domain, position)
--- a/core/node/document.go
+++ b/core/node/document.go
@@ -12,7 +12,7 @@
 // document that operators store on the platform.
 type DocumentTask string
 
-// The values of DocumentDuty.
+// The values of DocumentTask.
 const (
 	// DocumentNone means that the node does not read the document; its peers
 	// send it each new version.
@@ -35,7 +35,7 @@
 	documentReaders = 3
 	// documentTimeout is how long a node with peers waits for the document
 	// before it reads the document itself; soloDocumentTimeout applies to a
-	// node without peers. Both are spread over up to twice their length, so
+	// node without peers. Each node waits between once and twice that time, so
 	// that among nodes that start together the first one to read the document
 	// sends it to the others.
 	documentTimeout     = 1500 * time.Millisecond
@@ -70,10 +70,11 @@
 
 // DocumentTask returns what this node must currently do about the document.
 //
-// Each call to the platform costs money, and a starting deployment makes as
-// many as it has nodes. A node that can obtain the document from its peers
-// therefore does not call the platform, and the document is not requested from
-// a platform that does not even return the contacts.
+// Each call to the platform costs money, and if every node of a starting
+// deployment read the document, there would be as many calls as nodes. A node
+// that can obtain the document from its peers therefore does not call the
+// platform. The document is also not requested from a platform that does not
+// even return the contacts.
 func (n *Node) DocumentTask() DocumentTask {
 	m := n.membership
 	waited := n.now.Monotonic - m.started
--- a/core/node/domains.go
+++ b/core/node/domains.go
@@ -8,8 +8,8 @@
 	"coltsfootward/core/record"
 )
 
-// domainsComponent holds the failure domains that are out of service. Its version
-// never decreases during a run.
+// domainsComponent holds the failure domains that are out of service. Its
+// version never decreases during a run.
 type domainsComponent struct {
 	node    *Node
 	current coltsfootward.OutOfService
--- a/core/node/draw.go
+++ b/core/node/draw.go
@@ -15,18 +15,19 @@
 	// is tried. It is well above a round trip between failure domains. Requests
 	// wait while it runs.
 	drawTimeout = 100 * time.Millisecond
-	// unansweredBackoff is how long a part is not asked after its holder failed
-	// to answer. It doubles with each consecutive failure, up to
+	// unansweredBackoff is how long no tokens are drawn from a part after its
+	// holder failed to answer. It doubles with each consecutive failure, up to
 	// maxBackoffDoublings times, so that an unreachable failure domain costs
 	// the others one stalled draw every few seconds.
 	unansweredBackoff   = time.Second
 	maxBackoffDoublings = 3
-	// unheldBackoff is how long a part without a known holder is not asked.
-	// Nodes that have all just started agree on the holders within a few rounds
-	// of gossip, and another attempt costs next to nothing.
+	// unheldBackoff is how long no tokens are drawn from a part without a known
+	// holder. Nodes that have all just started agree on the holders within a
+	// few rounds of gossip, and another attempt costs next to nothing.
 	unheldBackoff = 50 * time.Millisecond
-	// maxEmptyBackoff is the longest time for which an empty part is not asked:
-	// its rate may be raised in the meantime, or its slot may get a new holder.
+	// maxEmptyBackoff is the longest time for which no tokens are drawn from an
+	// empty part: its rate may be raised in the meantime, or its slot may get a
+	// new holder.
 	maxEmptyBackoff = time.Second
 	// prefetchDivisor sets the prefetch target: the demand expected within
 	// 1/prefetchDivisor of a token's lifetime. A larger prefetch would often
@@ -34,8 +35,8 @@
 	prefetchDivisor = 4
 	// prefetchInterval is the minimum time between two prefetches.
 	prefetchInterval = 5 * time.Millisecond
-	// lateGrantWindow is how long after its timeout a draw's late answer is
-	// still matched.
+	// lateGrantWindow is how long after its timeout a draw's late grant is
+	// still matched to it.
 	lateGrantWindow = 2 * time.Second
 )
 
@@ -43,10 +44,10 @@
 type partState struct {
 	// answered is set once the part's holder has answered a draw.
 	answered bool
-	// level is the number of tokens that the holder last reported as left, and
-	// told the time of that report, by Instant.Monotonic.
-	level     int64
-	levelTime time.Duration
+	// remaining is the number of tokens that the holder last reported as left,
+	// and reportedAt the time of that report, by Instant.Monotonic.
+	remaining  int64
+	reportedAt time.Duration
 	// blockedUntil is the earliest time of the next draw from the part, by
 	// Instant.Monotonic.
 	blockedUntil time.Duration
@@ -57,13 +58,14 @@
 	failures int
 }
 
-// pendingDraw is a draw that was sent to another node and is not answered yet.
+// pendingDraw is a draw that was sent to another node and has not been answered
+// yet.
 type pendingDraw struct {
-	account *account
-	slot    slotID
-	target  coltsfootward.Instance
-	need    int64
-	ahead   int64
+	account  *account
+	slot     slotID
+	target   coltsfootward.Instance
+	need     int64
+	prefetch int64
 	// sent is when the draw was sent, by Instant.Expiry. The lifetime of the
 	// granted tokens starts at this time.
 	sent time.Duration
@@ -111,7 +113,7 @@
 // expire unspent.
 func (p *rateComponent) prefetchCount(a *account) int64 {
 	target := int64(a.demand.PerSecond(p.node.now) * a.tokenLifetime.Seconds() / prefetchDivisor)
-	available := a.purse.Tokens(p.node.now)
+	available := a.tokenCache.Tokens(p.node.now)
 	if available > target/2 {
 		return 0
 	}
@@ -119,18 +121,18 @@
 }
 
 // choosePart returns the part to draw from next: one in this node's failure
-// domain if it may have tokens, otherwise the part with the highest reported
-// level.
+// domain if it may have tokens, otherwise the part with the most tokens
+// reported.
 func (p *rateComponent) choosePart(a *account) (rate.Part, bool) {
 	best := -1
 	var bestScore int64
-	for i, part := range a.share.Current() {
-		view := a.parts[i]
-		if p.node.now.Monotonic < view.blockedUntil {
+	for i, part := range a.division.Current() {
+		state := a.parts[i]
+		if p.node.now.Monotonic < state.blockedUntil {
 			continue
 		}
-		score := view.level
-		if !view.answered {
+		score := state.remaining
+		if !state.answered {
 			score = part.Burst
 		}
 		if part.Domain == p.node.options.Self.Domain {
@@ -143,19 +145,19 @@
 	if best < 0 {
 		return rate.Part{}, false
 	}
-	return a.share.Current()[best], true
+	return a.division.Current()[best], true
 }
 
 // draw draws tokens from the holder of a slot. It returns the pending draw, or
 // nil if the outcome is known already.
-func (p *rateComponent) draw(a *account, id slotID, need, ahead int64, redirects int) *pendingDraw {
+func (p *rateComponent) draw(a *account, id slotID, need, prefetch int64, redirects int) *pendingDraw {
 	holder, ok := p.node.slots.holder(id)
 	if !ok {
 		p.backOffUnheld(a, id)
 		return nil
 	}
 	if holder.ID == p.node.options.Self.ID {
-		grant := p.grant(message.Draw{Organisation: a.name, Domain: id.domain, Slot: id.index, Need: need, Prefetch: ahead})
+		grant := p.grant(message.Draw{Organisation: a.name, Domain: id.domain, Slot: id.index, Need: need, Prefetch: prefetch})
 		if !grant.IsHolder {
 			p.backOffUnheld(a, id)
 			return nil
@@ -165,13 +167,13 @@
 	}
 	p.lastDrawID++
 	d := &pendingDraw{
-		account: a, slot: id, target: holder, need: need, ahead: ahead, redirects: redirects,
+		account: a, slot: id, target: holder, need: need, prefetch: prefetch, redirects: redirects,
 		sent: p.node.now.Expiry, deadline: p.node.now.Monotonic + drawTimeout,
 	}
 	p.pendingDraws[p.lastDrawID] = d
 	p.node.act(Send{To: holder, Message: &message.Draw{
 		ID: p.lastDrawID, Organisation: a.name, Domain: id.domain, Slot: id.index,
-		Need: need, Prefetch: ahead, From: p.node.options.Self,
+		Need: need, Prefetch: prefetch, From: p.node.options.Self,
 	}})
 	return d
 }
@@ -194,10 +196,10 @@
 		p.acceptGrant(a, d.slot, m, d.sent)
 	case current && m.Holder.ID != "" && m.Holder.ID != d.target.ID && d.redirects < slotWatchers:
 		p.node.slots.noteHolder(d.slot, m.Holder)
-		a.activeDraw = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
+		a.activeDraw = p.draw(a, d.slot, d.need, d.prefetch, d.redirects+1)
 	case current && d.redirects < slotWatchers:
 		p.node.slots.noteHolder(d.slot, coltsfootward.Instance{})
-		a.activeDraw = p.draw(a, d.slot, d.need, d.ahead, d.redirects+1)
+		a.activeDraw = p.draw(a, d.slot, d.need, d.prefetch, d.redirects+1)
 	default:
 		p.node.slots.noteHolder(d.slot, coltsfootward.Instance{})
 		p.backOffUnheld(a, d.slot)
@@ -206,28 +208,28 @@
 }
 
 // acceptGrant adds granted tokens to the organisation's tokens. Their lifetime
-// starts when the draw was sent. If it started with the answer, a slow answer
-// would extend it beyond what the holder's bucket accounts for.
+// starts when the draw was sent. If it started when the grant arrived, a slow
+// grant would extend it beyond what the holder's bucket accounts for.
 func (p *rateComponent) acceptGrant(a *account, id slotID, m message.Grant, sent time.Duration) {
-	chunk := rate.Batch{Tokens: m.Tokens, Expires: sent + m.Lifetime}
-	if m.Tokens > 0 && chunk.Expires <= p.node.now.Expiry+minRemainingLifetime {
+	batch := rate.Batch{Tokens: m.Tokens, Expires: sent + m.Lifetime}
+	if m.Tokens > 0 && batch.Expires <= p.node.now.Expiry+minRemainingLifetime {
 		// The round trip to the holder takes longer than a token's lifetime.
 		// Further draws would only empty its bucket with no use for the tokens.
 		p.backOffUnanswered(a, id)
 		return
 	}
 	if m.Tokens > 0 {
-		a.purse.Add(chunk)
+		a.tokenCache.Add(batch)
 	}
-	view := p.view(a, id)
-	if view == nil {
+	state := p.partState(a, id)
+	if state == nil {
 		return
 	}
 	now := p.node.now.Monotonic
-	*view = partState{answered: true, level: m.Remaining, levelTime: now}
+	*state = partState{answered: true, remaining: m.Remaining, reportedAt: now}
 	if m.RetryAfter > 0 {
-		view.emptyUntil = now + m.RetryAfter
-		view.blockedUntil = now + min(m.RetryAfter, maxEmptyBackoff)
+		state.emptyUntil = now + m.RetryAfter
+		state.blockedUntil = now + min(m.RetryAfter, maxEmptyBackoff)
 	}
 }
 
@@ -236,28 +238,28 @@
 // backoff of an unanswered draw, all callers would be refused for another
 // second after the holders are known.
 func (p *rateComponent) backOffUnheld(a *account, id slotID) {
-	view := p.view(a, id)
-	if view == nil {
+	state := p.partState(a, id)
+	if state == nil {
 		return
 	}
-	view.blockedUntil = p.node.now.Monotonic + unheldBackoff
-	view.emptyUntil = view.blockedUntil
+	state.blockedUntil = p.node.now.Monotonic + unheldBackoff
+	state.emptyUntil = state.blockedUntil
 }
 
 // backOffUnanswered pauses draws from a part whose holder does not answer.
 func (p *rateComponent) backOffUnanswered(a *account, id slotID) {
-	view := p.view(a, id)
-	if view == nil {
+	state := p.partState(a, id)
+	if state == nil {
 		return
 	}
-	wait := unansweredBackoff << min(view.failures, maxBackoffDoublings)
-	view.failures++
-	view.blockedUntil = p.node.now.Monotonic + wait
-	view.emptyUntil = view.blockedUntil
+	wait := unansweredBackoff << min(state.failures, maxBackoffDoublings)
+	state.failures++
+	state.blockedUntil = p.node.now.Monotonic + wait
+	state.emptyUntil = state.blockedUntil
 }
 
-func (p *rateComponent) view(a *account, id slotID) *partState {
-	for i, part := range a.share.Current() {
+func (p *rateComponent) partState(a *account, id slotID) *partState {
+	for i, part := range a.division.Current() {
 		if part.Domain == id.domain && part.Slot == id.index {
 			return &a.parts[i]
 		}
--- a/core/node/entry.go
+++ b/core/node/entry.go
@@ -8,9 +8,9 @@
 	"coltsfootward/core/message"
 )
 
-// retryAfterJitter is the width of the range from which spreadRetryAfter chooses
-// a Retry-After at random when there is no better estimate, so that callers that
-// are refused together do not return together.
+// retryAfterJitter is the width of the range from which jitteredRetryAfter
+// chooses a Retry-After at random when there is no better estimate, so that
+// callers that are refused together do not return together.
 const retryAfterJitter = 2 * time.Second
 
 // Bounds for the Retry-After of a call that is shed at entry, before jitter.
@@ -91,8 +91,8 @@
 	hops int
 }
 
-// entryComponent receives requests from callers and from the local backend server
-// and ends each of them with exactly one response or refusal.
+// entryComponent receives requests from callers and from the local backend
+// server and ends each of them with exactly one response or refusal.
 type entryComponent struct {
 	node  *Node
 	calls map[CallID]*entryCall
@@ -245,8 +245,8 @@
 	return true
 }
 
-// claimGranted continues a call once no other request runs under its idempotency
-// key.
+// claimGranted continues a call once no other request runs under its
+// idempotency key.
 func (p *entryComponent) claimGranted(call *entryCall) {
 	p.startAttempt(call)
 }
--- a/core/node/entry_attempt.go
+++ b/core/node/entry_attempt.go
@@ -123,16 +123,16 @@
 // mayRetryRouted decides whether a routed request is attempted again. Its
 // budget bounds the number of backend servers that see it, but a server that
 // has rejected it may be tried again: a server that rejects requests at random
-// is as likely as not to serve the next attempt.
+// has about an even chance of serving the next attempt.
 func (p *entryComponent) mayRetryRouted(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
 	if refused.Final || p.node.now.Expiry >= call.deadline || !safeToRetry(call, refused) {
 		return false
 	}
 	if unseen {
-		return call.hops < maximumHops
+		return call.hops < maxHops
 	}
 	rejected := refused.Execution == coltsfootward.ExecutionNotRun
-	if call.sends >= maximumSends || !rejected && len(call.seenBy) >= call.budget {
+	if call.sends >= maxSends || !rejected && len(call.seenBy) >= call.budget {
 		return false
 	}
 	return p.node.placement.takeRoutedRetry(call)
@@ -204,10 +204,10 @@
 }
 
 // mayRetry decides whether another attempt follows. A request whose execution
-// is unknown is retried only if it is repeatable. A retry after an attempt that
-// no backend server saw does not draw on the retry budget of a routed request,
-// as it costs the servers nothing; their number is still limited, because each
-// one is a hop under load.
+// is unknown is retried only if it is repeatable. For a routed request, a retry
+// after an attempt that no backend server saw does not draw on the retry
+// budget, as it costs the servers nothing. The number of such retries is still
+// limited, because each one is a hop under load.
 func (p *entryComponent) mayRetry(call *entryCall, refused coltsfootward.Refusal, unseen bool) bool {
 	if call.routed {
 		return p.mayRetryRouted(call, refused, unseen)
@@ -221,16 +221,16 @@
 	return safeToRetry(call, refused) && p.node.placement.takeRetry(call.head.Service)
 }
 
-// maximumHops is the number of attempts of a routed request, including those
-// that no backend server saw, from which on an attempt that no backend server
-// saw is not followed by another. With two candidates compared each time, three
-// full servers in a row mean that most servers are full.
-const maximumHops = 3
+// maxHops limits the attempts of a routed request after one that no backend
+// server saw: it is attempted again only while fewer than maxHops attempts have
+// been made, whether servers saw them or not. With two candidates compared each
+// time, three full servers in a row mean that most servers are full.
+const maxHops = 3
 
-// maximumSends bounds how often backend servers see one routed request. Against
+// maxSends bounds how often backend servers see one routed request. Against
 // a server that rejects half of its requests, four attempts succeed in 94 of
 // 100 cases.
-const maximumSends = 4
+const maxSends = 4
 
 func safeToRetry(call *entryCall, refused coltsfootward.Refusal) bool {
 	if refused.Execution == coltsfootward.ExecutionNotRun {
--- a/core/node/entry_end.go
+++ b/core/node/entry_end.go
@@ -59,9 +59,9 @@
 	p.node.act(Refuse{Call: id, Refusal: r})
 }
 
-// responseTruncated resumes a truncated response with another attempt, if the budget
-// allows one. The new attempt may wait for its response to begin as long as the
-// first, since a download may have lasted far longer than the request's
+// responseTruncated resumes a truncated response with another attempt, if the
+// budget allows one. The new attempt may wait for its response to begin as long
+// as the first, since a download may have lasted far longer than the request's
 // timeout. The upstream is not marked as tried, because only the connection may
 // have failed.
 func (p *entryComponent) responseTruncated(e ResponseTruncated) {
@@ -108,7 +108,7 @@
 }
 
 // callerLeft cancels everything below a call whose caller has gone away. Work
-// for callers that are gone keeps an overloaded service from recovering.
+// for such callers would keep an overloaded service from recovering.
 func (p *entryComponent) callerLeft(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
--- a/core/node/entry_route.go
+++ b/core/node/entry_route.go
@@ -175,12 +175,12 @@
 	if call.head.Depth > 0 {
 		return false
 	}
-	full, admitted := p.node.gates.Admit(call.head.Route, call.head.ShedRank)
+	saturated, admitted := p.node.gates.Admit(call.head.Route, call.head.ShedRank)
 	if admitted {
 		return false
 	}
-	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, fmt.Sprintf("service %q, which the request needs, has no room for requests of this importance", full)).
-		WithRetryAfter(p.node.placement.coldRetryAfter(full)+p.node.jitter(gateRetryAfter(call.objective))), p.gateEvidence(call, full)...)
+	p.finish(call, coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, fmt.Sprintf("service %q, which the request needs, has no room for requests of this importance", saturated)).
+		WithRetryAfter(p.node.placement.coldRetryAfter(saturated)+p.node.jitter(gateRetryAfter(call.objective))), p.gateEvidence(call, saturated)...)
 	return true
 }
 
@@ -195,15 +195,15 @@
 )
 
 // gateRetryAfter returns when a caller that was refused at a gate may retry,
-// before jitter. A gate always admits part of the demand and adjusts within a
-// second or two, so an early retry is as likely to be admitted as a late one,
-// and its response may still have its full value.
+// before jitter. A gate always admits a fraction of the demand and adjusts
+// within a second or two, so an early retry is as likely to be admitted as a
+// late one, and its response may still have its full value.
 func gateRetryAfter(objective time.Duration) time.Duration {
 	return min(max(objective/objectiveDivisor, minGateRetryAfter), maxGateRetryAfter)
 }
 
-// recordChildEnd records how long a child call of the local backend server took
-// and whether it failed.
+// recordChildEnd records how long a routed child call of the local backend
+// server took and whether it failed.
 func (p *entryComponent) recordChildEnd(call *entryCall, failed bool) {
 	if call.routed && call.head.Depth > 0 {
 		p.node.callees.CallEnded(call.head.Route, p.node.now.Expiry-call.arrivedAt, failed)
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -95,9 +95,9 @@
 	Attempts int
 }
 
-// ResponseTruncated reports that a response was truncated after part of its body had
-// reached the caller, and that another attempt could fetch the rest. The node
-// responds with Forward or Refuse.
+// ResponseTruncated reports that a response was truncated after part of its
+// body had reached the caller, and that another attempt could fetch the rest.
+// The node responds with Forward or Refuse.
 type ResponseTruncated struct{ Call CallID }
 
 // CallDone reports that the response to an entry call has been delivered or
@@ -113,8 +113,8 @@
 	// Complete is set if the complete response reached the caller.
 	Complete bool
 	// Answer is the complete response to a request with an idempotency key, if
-	// its body is not longer than MaximumKeptAnswer. It is retained for
-	// repeated requests.
+	// its body is not longer than MaximumRetainedAnswerBytes. It is retained
+	// for repeated requests.
 	Answer *claim.Answer
 }
 
@@ -133,8 +133,8 @@
 
 // The outcomes of a dispatch.
 const (
-	// DispatchAnswered means that the complete response was passed on or is
-	// available.
+	// DispatchAnswered means that the complete response was forwarded or is
+	// ready to be sent.
 	DispatchAnswered DispatchKind = "answered"
 	// DispatchUnsent means that no byte of the request reached the upstream.
 	DispatchUnsent DispatchKind = "unsent"
@@ -191,8 +191,8 @@
 // DrainRequested asks the node to stop: it accepts no new work from then on.
 type DrainRequested struct{}
 
-// FinishRequested reports that callers have been disconnected: a draining node
-// may stop as soon as no call is left.
+// FinishRequested reports that the callers have been disconnected: a draining
+// node may stop as soon as no call is left.
 type FinishRequested struct{}
 
 // TableResult reports the outcome of a table operation.
--- a/core/node/evidence.go
+++ b/core/node/evidence.go
@@ -44,7 +44,7 @@
 // left there, and the age of that information.
 func (p *rateComponent) evidence(a *account) []record.Field {
 	var parts []string
-	for i, part := range a.share.Current() {
+	for i, part := range a.division.Current() {
 		parts = append(parts, p.partEvidence(slotID{domain: part.Domain, index: part.Slot}, a.parts[i]))
 	}
 	return []record.Field{
@@ -55,7 +55,7 @@
 	}
 }
 
-func (p *rateComponent) partEvidence(id slotID, view partState) string {
+func (p *rateComponent) partEvidence(id slotID, state partState) string {
 	holder, _ := p.node.slots.holder(id)
 	now := p.node.now.Monotonic
 	text := fmt.Sprintf("%s/%d at %s:", id.domain, id.index, holder.ID)
@@ -63,14 +63,14 @@
 		text = fmt.Sprintf("%s/%d at nobody:", id.domain, id.index)
 	}
 	switch {
-	case view.failures > 0:
-		text += fmt.Sprintf(" %d draws unanswered", view.failures)
-	case !view.answered:
+	case state.failures > 0:
+		text += fmt.Sprintf(" %d draws unanswered", state.failures)
+	case !state.answered:
 		text += " not asked"
 	default:
-		text += fmt.Sprintf(" %d left %s ago", view.level, rounded(now-view.levelTime))
+		text += fmt.Sprintf(" %d left %s ago", state.remaining, rounded(now-state.reportedAt))
 	}
-	if wait := view.blockedUntil - now; wait > 0 {
+	if wait := state.blockedUntil - now; wait > 0 {
 		text += ", asked again in " + rounded(wait)
 	}
 	return text
@@ -103,13 +103,13 @@
 // targetEvidence returns the log fields that show why no backend server of the
 // call's service could be chosen.
 func (p *entryComponent) targetEvidence(call *entryCall) []record.Field {
-	census := p.node.placement.poolFor(call.head.Service).pool.CountCandidates(p.node.now.Monotonic, call.tried)
+	counts := p.node.placement.poolFor(call.head.Service).pool.CountCandidates(p.node.now.Monotonic, call.tried)
 	fields := []record.Field{
-		field("known", number(census.Known)),
-		field("tried", number(census.Tried)),
-		field("ejected", number(census.Ejected)),
-		field("suspected", number(census.Suspected)),
-		field("unreachable", number(census.Unreachable)),
+		field("known", number(counts.Known)),
+		field("tried", number(counts.Tried)),
+		field("ejected", number(counts.Ejected)),
+		field("suspected", number(counts.Suspected)),
+		field("unreachable", number(counts.Unreachable)),
 	}
 	if out := p.node.domains.current.Domains; len(out) > 0 {
 		fields = append(fields, field("out_of_service", joinDomains(out)))
--- a/core/node/handover.go
+++ b/core/node/handover.go
@@ -66,18 +66,18 @@
 	if !slices.Contains(p.slots.localSlots(), id) {
 		return
 	}
-	in, ok := p.handovers[id]
-	if !ok || in.epoch < m.Epoch {
-		in = &incomingHandover{epoch: m.Epoch, pages: m.Pages, received: make(map[int]bool), content: m.Handover}
-		in.content.Claims = nil
-		in.expires = p.node.now.Monotonic + handoverLifetime
-		p.handovers[id] = in
+	incoming, ok := p.handovers[id]
+	if !ok || incoming.epoch < m.Epoch {
+		incoming = &incomingHandover{epoch: m.Epoch, pages: m.Pages, received: make(map[int]bool), content: m.Handover}
+		incoming.content.Claims = nil
+		incoming.expires = p.node.now.Monotonic + handoverLifetime
+		p.handovers[id] = incoming
 	}
-	if in.epoch != m.Epoch || in.pages != m.Pages || in.received[m.Page] {
+	if incoming.epoch != m.Epoch || incoming.pages != m.Pages || incoming.received[m.Page] {
 		return
 	}
-	in.received[m.Page] = true
-	in.content.Claims = append(in.content.Claims, m.Handover.Claims...)
+	incoming.received[m.Page] = true
+	incoming.content.Claims = append(incoming.content.Claims, m.Handover.Claims...)
 	if h, ok := p.claimsOf(id); ok {
 		p.applyHandover(id, h)
 	}
@@ -87,27 +87,27 @@
 // The handover must come from the immediately preceding epoch, because a holder
 // in between may have granted keys that the handover does not contain.
 func (p *claimsComponent) applyHandover(id slotID, h *slotClaims) {
-	in, ok := p.handovers[id]
-	if !ok || in.epoch+1 != h.epoch || len(in.received) < in.pages {
+	incoming, ok := p.handovers[id]
+	if !ok || incoming.epoch+1 != h.epoch || len(incoming.received) < incoming.pages {
 		return
 	}
 	delete(p.handovers, id)
-	h.claims.Restore(p.node.now, in.content)
-	p.node.report(record.ClaimsTakenOver, field("slot", number(id.index)), field("claims", number(len(in.content.Claims))))
+	h.claims.Restore(p.node.now, incoming.content)
+	p.node.report(record.ClaimsTakenOver, field("slot", number(id.index)), field("claims", number(len(incoming.content.Claims))))
 }
 
 // checkHandovers applies handovers for slots that this node now holds, and
 // drops those that have expired.
 func (p *claimsComponent) checkHandovers() {
 	for _, id := range p.slots.localSlots() {
-		in, ok := p.handovers[id]
+		incoming, ok := p.handovers[id]
 		if !ok {
 			continue
 		}
-		if term, held := p.slots.term(id); held && term.epoch == in.epoch+1 {
+		if term, held := p.slots.term(id); held && term.epoch == incoming.epoch+1 {
 			p.claimsOf(id)
 		}
-		if p.node.now.Monotonic >= in.expires {
+		if p.node.now.Monotonic >= incoming.expires {
 			delete(p.handovers, id)
 		}
 	}
--- a/core/node/key.go
+++ b/core/node/key.go
@@ -21,26 +21,26 @@
 	digests map[coltsfootward.KeyDigest]bool
 }
 
-func (m *withdrawnKeys) add(digest coltsfootward.KeyDigest) {
-	if m.digests == nil {
-		m.digests = make(map[coltsfootward.KeyDigest]bool)
+func (w *withdrawnKeys) add(digest coltsfootward.KeyDigest) {
+	if w.digests == nil {
+		w.digests = make(map[coltsfootward.KeyDigest]bool)
 	}
-	m.digests[digest] = true
+	w.digests[digest] = true
 }
 
 // prune removes the keys whose withdrawal the configuration contains.
-func (m *withdrawnKeys) prune(c coltsfootward.Configuration) {
-	maps.DeleteFunc(m.digests, func(digest coltsfootward.KeyDigest, _ bool) bool {
+func (w *withdrawnKeys) prune(c coltsfootward.Configuration) {
+	maps.DeleteFunc(w.digests, func(digest coltsfootward.KeyDigest, _ bool) bool {
 		key, ok := c.Key(digest)
 		return ok && key.Withdrawn
 	})
 }
 
-func (m *withdrawnKeys) list(limit int) []coltsfootward.KeyDigest {
-	if len(m.digests) == 0 {
+func (w *withdrawnKeys) list(limit int) []coltsfootward.KeyDigest {
+	if len(w.digests) == 0 {
 		return nil
 	}
-	all := slices.Sorted(maps.Keys(m.digests))
+	all := slices.Sorted(maps.Keys(w.digests))
 	return all[:min(len(all), limit)]
 }
 
@@ -104,51 +104,52 @@
 	lastMajority time.Duration
 	lastCheck    time.Duration
 	stopped      bool
-	// reported is set while the reported state is that keys are rejected.
+	// reported is set while KeysStopped was the last of the two records
+	// KeysStopped and KeysHonoured that the node reported.
 	reported bool
 }
 
 // reset starts the state without any contact. Otherwise each restart within a
 // network partition would start a new grace period.
-func (a *contactState) reset(now coltsfootward.Instant, grace time.Duration) {
-	a.lastTableRead = now.Expiry - grace - 1
-	a.lastMajority = a.lastTableRead
-	a.stopped = true
+func (s *contactState) reset(now coltsfootward.Instant, grace time.Duration) {
+	s.lastTableRead = now.Expiry - grace - 1
+	s.lastMajority = s.lastTableRead
+	s.stopped = true
 }
 
-func (a *contactState) noteTableRead(at time.Duration) {
-	a.lastTableRead = max(a.lastTableRead, at)
+func (s *contactState) noteTableRead(at time.Duration) {
+	s.lastTableRead = max(s.lastTableRead, at)
 }
 
-func (a *contactState) tableAge(now coltsfootward.Instant) time.Duration {
-	return max(now.Expiry-a.lastTableRead, 0)
+func (s *contactState) tableAge(now coltsfootward.Instant) time.Duration {
+	return max(now.Expiry-s.lastTableRead, 0)
 }
 
 // checkContact makes the node reject all keys after it was isolated for too
 // long. Otherwise a caller on the isolated side of a network partition could
 // use a withdrawn key for the whole partition.
 func (p *configurationComponent) checkContact() {
-	a := &p.contact
+	contact := &p.contact
 	now := p.node.now.Expiry
 	// A node that rejects keys checks on every call, so that it accepts them
 	// again as soon as it has contact.
-	if now-a.lastCheck < time.Second && !a.stopped {
+	if now-contact.lastCheck < time.Second && !contact.stopped {
 		return
 	}
-	a.lastCheck = now
+	contact.lastCheck = now
 	if p.reachesMostDomains() {
-		a.lastMajority = now
+		contact.lastMajority = now
 	}
-	stopped := now-max(a.lastTableRead, a.lastMajority) > p.node.options.KeyGrace
-	if stopped && !a.stopped {
+	stopped := now-max(contact.lastTableRead, contact.lastMajority) > p.node.options.KeyGrace
+	if stopped && !contact.stopped {
 		p.node.report(record.KeysStopped)
-		a.reported = true
+		contact.reported = true
 	}
-	if !stopped && a.reported {
+	if !stopped && contact.reported {
 		p.node.report(record.KeysHonoured)
-		a.reported = false
+		contact.reported = false
 	}
-	a.stopped = stopped
+	contact.stopped = stopped
 }
 
 func (p *configurationComponent) reachesMostDomains() bool {
--- a/core/node/lease.go
+++ b/core/node/lease.go
@@ -52,8 +52,8 @@
 	misses int
 }
 
-// leaseComponent manages the leases of slots in the node's own failure domain and
-// finds the holders of all other slots.
+// leaseComponent manages the leases of slots in the node's own failure domain
+// and finds the holders of all other slots.
 type leaseComponent struct {
 	node  *Node
 	slots []*lease.Slot
@@ -62,7 +62,7 @@
 	// offeredUntil is the time until which each slot is offered to this node,
 	// by Instant.Monotonic.
 	offeredUntil []time.Duration
-	// successors are the instances that this node last offered each slot to.
+	// successors are the instances to which this node last offered each slot.
 	successors []coltsfootward.Instance
 	// reported is the state of each slot that was reported last.
 	reported  []bool
@@ -112,6 +112,10 @@
 	}
 }
 
+// candidacy returns whether and with which delay this node tries to acquire a
+// slot. The delay grows with the node's rank among the candidates, and a node
+// that already holds its fair share waits for two terms more. A slot that was
+// offered to this node is acquired without delay.
 func (p *leaseComponent) candidacy(index int) lease.Candidacy {
 	rank := p.ranks[index]
 	term := p.node.options.LeaseTerm
@@ -316,29 +320,29 @@
 	if s, ok := p.localSlot(id); ok && s.Held(p.node.now) {
 		return p.node.options.Self, true
 	}
-	r := p.hint(id)
+	hint := p.hint(id)
 	// Another node's copy of the record may still name this node after its
 	// lease has expired.
-	if r.holder.ID != "" && r.holder.ID != p.node.options.Self.ID && !p.disconnected[r.holder.ID] {
-		return r.holder, true
+	if hint.holder.ID != "" && hint.holder.ID != p.node.options.Self.ID && !p.disconnected[hint.holder.ID] {
+		return hint.holder, true
 	}
-	if recorded := p.lastKnownHolder(id); recorded.ID != "" && !p.disconnected[recorded.ID] && r.misses == 0 {
+	if recorded := p.lastKnownHolder(id); recorded.ID != "" && !p.disconnected[recorded.ID] && hint.misses == 0 {
 		return recorded, true
 	}
 	order := p.successorsOf(id)
 	if len(order) == 0 {
 		return coltsfootward.Instance{}, false
 	}
-	return order[r.misses%len(order)], true
+	return order[hint.misses%len(order)], true
 }
 
 func (p *leaseComponent) hint(id slotID) *holderHint {
-	r, ok := p.hints[id]
+	hint, ok := p.hints[id]
 	if !ok {
-		r = &holderHint{}
-		p.hints[id] = r
+		hint = &holderHint{}
+		p.hints[id] = hint
 	}
-	return r
+	return hint
 }
 
 // setHolder records the holder of a slot.
@@ -348,8 +352,8 @@
 
 // holderMissed records that the instance asked last does not hold the slot.
 func (p *leaseComponent) holderMissed(id slotID) {
-	r := p.hint(id)
-	*r = holderHint{misses: r.misses + 1}
+	hint := p.hint(id)
+	*hint = holderHint{misses: hint.misses + 1}
 }
 
 // lastKnownHolder returns the holder of a slot in this node's failure domain,
--- a/core/node/ledger.go
+++ b/core/node/ledger.go
@@ -5,10 +5,10 @@
 	"coltsfootward/core/attempt"
 )
 
-// ledgerComponent keeps track of the attempts that each request in service may still
-// use. It runs on the same node as the backend server that makes the child
-// calls, so the bound on the attempts of the whole chain needs no state shared
-// between nodes.
+// ledgerComponent keeps track of the attempts that each request in service may
+// still use. It runs on the same node as the backend server that makes the
+// child calls, so the bound on the attempts of the whole chain needs no state
+// shared between nodes.
 type ledgerComponent struct {
 	node     *Node
 	requests map[CallToken]*upstreamCall
@@ -24,7 +24,7 @@
 // close invalidates the call's token for further child calls.
 func (p *ledgerComponent) close(call *upstreamCall) {
 	delete(p.requests, call.token)
-	p.forecast.RecordCalls(call.escrow)
+	p.forecast.RecordCalls(call.budget)
 }
 
 // parent returns the request in service that the token belongs to.
@@ -36,7 +36,7 @@
 // allocate takes up to want attempts from the parent's remaining attempts for a
 // child call.
 func (p *ledgerComponent) allocate(parent *upstreamCall, service coltsfootward.ServiceName, want int) int {
-	return parent.escrow.Allocate(service, want, &p.forecast)
+	return parent.budget.Allocate(service, want, &p.forecast)
 }
 
 // topUp moves attempts from the parent to a child call that failed, up to the
@@ -48,7 +48,7 @@
 	if !ok || missing <= 0 {
 		return
 	}
-	child.budget += parent.escrow.TopUp(missing, &p.forecast)
+	child.budget += parent.budget.TopUp(missing, &p.forecast)
 }
 
 // nextAllocation returns how many of the call's attempts are allocated to its
@@ -58,11 +58,11 @@
 	if call.routed {
 		return 1
 	}
-	left := call.budget - call.attempts
+	remaining := call.budget - call.attempts
 	if call.parent != "" || !call.retryAllowed || call.head.Unrepeatable {
-		return left
+		return remaining
 	}
-	return p.forecast.NextAllocation(call.head.Service, left)
+	return p.forecast.NextAllocation(call.head.Service, remaining)
 }
 
 // hasEnough reports whether the call has enough attempts left for another try.
@@ -72,12 +72,11 @@
 	return call.budget-call.attempts >= p.forecast.Need(call.head.Service)
 }
 
-// recordNeed updates the forecast from a call whose complete response
-// arrived.
+// recordNeed updates the forecast from a call whose complete response arrived.
 func (p *ledgerComponent) recordNeed(call *entryCall, needed int) {
 	p.forecast.RecordNeed(call.head.Service, needed)
 	if parent, ok := p.requests[call.parent]; ok {
-		parent.escrow.RecordNeed(needed)
+		parent.budget.RecordNeed(needed)
 	}
 }
 
@@ -85,6 +84,6 @@
 // parent has already ended, nothing can use them any more.
 func (p *ledgerComponent) release(token CallToken, unused int) {
 	if call, ok := p.requests[token]; ok {
-		call.escrow.Release(unused)
+		call.budget.Release(unused)
 	}
 }
--- a/core/node/membership.go
+++ b/core/node/membership.go
@@ -112,13 +112,13 @@
 	p.local = p.machine.Local()
 }
 
-func (p *membershipComponent) memberChanged(old, news message.MemberUpdate) {
-	p.node.placement.memberChanged(old, news)
-	instance := news.Announcement.Instance
-	if old.Announcement.Instance.Incarnation != instance.Incarnation || news.State == message.MemberLeft {
+func (p *membershipComponent) memberChanged(old, update message.MemberUpdate) {
+	p.node.placement.memberChanged(old, update)
+	instance := update.Announcement.Instance
+	if old.Announcement.Instance.Incarnation != instance.Incarnation || update.State == message.MemberLeft {
 		p.node.confirmation.forgetMember(instance.ID)
 	}
-	if instance.Domain != p.node.options.Self.Domain || old.State == news.State {
+	if instance.Domain != p.node.options.Self.Domain || old.State == update.State {
 		return
 	}
 	codes := map[message.MemberState]record.Code{
@@ -126,7 +126,7 @@
 		message.MemberGone:      record.MemberGone,
 		message.MemberLeft:      record.MemberLeft,
 	}
-	if code, ok := codes[news.State]; ok {
+	if code, ok := codes[update.State]; ok {
 		p.node.report(code, field("instance", string(instance.ID)))
 	}
 }
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -109,7 +109,7 @@
 	case DrainRequested:
 		n.drain()
 	case TableResult:
-		n.table.operationAnswered(e)
+		n.table.resultReceived(e)
 	case ConfigurationRead:
 		n.configuration.adopt(e.Configuration)
 	case DomainsRead:
@@ -140,8 +140,8 @@
 }
 
 // tick runs the timers of all components. A node of a routed deployment has no
-// leases, no claims and no confirmations of changes, and leaves their
-// components out.
+// leases, no claims and no confirmations of changes, and skips their
+// components.
 func (n *Node) tick() {
 	n.membership.tick()
 	if n.options.Routed {
--- a/core/node/options.go
+++ b/core/node/options.go
@@ -17,10 +17,11 @@
 	// Domains lists every failure domain of the deployment.
 	Domains []coltsfootward.FailureDomain
 	// Attempts bounds the attempts of one request over the whole call chain,
-	// first attempts included. The default is 128. With it, the first request
-	// ever sent passes through a chain of seven services, where each service
-	// reserves half of its attempts for a second call until it has learned that
-	// there is none. Later requests through such a chain need seven attempts.
+	// first attempts included. The default is 128. It suffices for the first
+	// request ever sent through a chain of seven services, each of which
+	// reserves half of its attempts for a second child call until it has
+	// learned that there is none. Later requests through such a chain need
+	// seven attempts.
 	Attempts int
 	// Timeout applies to requests that set none. The default is 10 s.
 	Timeout time.Duration
@@ -37,10 +38,10 @@
 	// MaximumClaims bounds the claims retained for each slot that this node
 	// holds. New keys beyond the limit are refused. The default is 100 000.
 	MaximumClaims int
-	// KeptAnswerBytes bounds the memory for answers that are retained for
+	// RetainedAnswerBytes bounds the memory for answers that are retained for
 	// repeated requests, for each slot that this node holds. The default is 16
 	// MiB.
-	KeptAnswerBytes int
+	RetainedAnswerBytes int
 	// PollInterval is the time between two reads of the configuration changes
 	// from the table. The default is 1 s.
 	PollInterval time.Duration
@@ -63,8 +64,8 @@
 	// RetryShare bounds the retries for a service of a routed deployment, as a
 	// fraction of the service's requests. The default is retry.Ratio.
 	RetryShare float64
-	// RetryCapacity is the burst of retries for one service that all nodes of a
-	// routed deployment may save up together. The default is 48.
+	// RetryCapacity is the largest burst of retries for one service of a routed
+	// deployment, all nodes taken together. The default is 48.
 	RetryCapacity float64
 	// LeaseTerm is how long a node holds a slot after its last successful
 	// renewal. The default is 1 min.
@@ -76,12 +77,12 @@
 	// to those in the table. If it is empty, only the table's contacts are
 	// used.
 	Contacts []coltsfootward.Instance
-	// KeyGrace is how long a node that receives no sign of the platform and
-	// none from most failure domains keeps accepting keys. A longer period
-	// serves callers through longer network partitions, and a key that is
-	// withdrawn during a partition keeps working on the isolated side for as
-	// long. A failure domain in Domains that has no running node counts as
-	// unreachable. The default is 10 min.
+	// KeyGrace is how long a node keeps accepting keys while it has contact
+	// neither with the platform, directly or through its peers, nor with most
+	// failure domains. A longer period serves callers through longer network
+	// partitions, but a key that is withdrawn during a partition keeps working
+	// on the isolated side for as long. A failure domain in Domains that has no
+	// running node counts as unreachable. The default is 10 min.
 	KeyGrace time.Duration
 }
 
@@ -142,7 +143,7 @@
 	o.ClaimWindow = claims.Window
 	o.ClaimClockMargin = claims.ClockMargin
 	o.MaximumClaims = claims.MaximumClaims
-	o.KeptAnswerBytes = claims.MaximumAnswerBytes
+	o.RetainedAnswerBytes = claims.MaximumAnswerBytes
 }
 
 func (o Options) claims() claim.Options {
@@ -150,6 +151,6 @@
 		Window:             o.ClaimWindow,
 		ClockMargin:        o.ClaimClockMargin,
 		MaximumClaims:      o.MaximumClaims,
-		MaximumAnswerBytes: o.KeptAnswerBytes,
+		MaximumAnswerBytes: o.RetainedAnswerBytes,
 	}
 }
--- a/core/node/overload_test.go
+++ b/core/node/overload_test.go
@@ -59,9 +59,9 @@
 	}
 	s.sendPeerCall(2, coltsfootward.PriorityNormal)
 	s.sendPeerCall(3, coltsfootward.PriorityNormal)
-	left := refusals(s.handle(node.CallerLeft{Call: 2}))
-	if len(left) != 1 || left[0].Refusal.Execution != coltsfootward.ExecutionNotRun {
-		t.Errorf("got refusals %+v for a cancelled call in the queue, want one with execution not_run", left)
+	cancelled := refusals(s.handle(node.CallerLeft{Call: 2}))
+	if len(cancelled) != 1 || cancelled[0].Refusal.Execution != coltsfootward.ExecutionNotRun {
+		t.Errorf("got refusals %+v for a cancelled call in the queue, want one with execution not_run", cancelled)
 	}
 	s.handle(node.CallerLeft{Call: 1})
 	got := dispatchedCalls(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchCancelled}))
--- a/core/node/placement.go
+++ b/core/node/placement.go
@@ -10,8 +10,8 @@
 	"coltsfootward/core/retry"
 )
 
-// placementComponent chooses the upstream for each attempt and bounds the retries of
-// each service.
+// placementComponent chooses the upstream for each attempt and bounds the
+// retries of each service.
 type placementComponent struct {
 	node *Node
 	// started is when the node started, by Instant.Monotonic.
@@ -60,14 +60,15 @@
 	return !p.node.domains.current.Has(domain) && p.node.membership.machine.Reachable(domain)
 }
 
-// memberChanged processes a change of a member. A backend server that is new, or
-// whose node has restarted, starts cold. A node that has just started discovers
-// all members for the first time, which does not make the others cold.
-func (p *placementComponent) memberChanged(old, news message.MemberUpdate) {
-	a, before := news.Announcement, old.Announcement
+// memberChanged processes a change of a member. A backend server that is new,
+// or whose node has restarted, starts cold. A node that has just started
+// discovers all members for the first time, which does not make the others
+// cold.
+func (p *placementComponent) memberChanged(old, update message.MemberUpdate) {
+	a, before := update.Announcement, old.Announcement
 	id := a.Instance.ID
 	now := p.node.now.Monotonic
-	takesWork := a.Service != "" && !a.Draining && !a.Leaving && news.State != message.MemberGone && news.State != message.MemberLeft
+	takesWork := a.Service != "" && !a.Draining && !a.Leaving && update.State != message.MemberGone && update.State != message.MemberLeft
 	if service, known := p.serviceOf[id]; known && (!takesWork || service != a.Service) {
 		p.poolFor(service).pool.Remove(id)
 		delete(p.serviceOf, id)
@@ -86,7 +87,7 @@
 	} else {
 		pool.Set(now, a.Instance, a.Slots, restarted || joined)
 	}
-	pool.SetSuspected(id, news.State == message.MemberSuspected)
+	pool.SetSuspected(id, update.State == message.MemberSuspected)
 }
 
 // choose returns the upstream for the call's next attempt.
--- a/core/node/rate.go
+++ b/core/node/rate.go
@@ -37,11 +37,11 @@
 
 // account is the rate limiting state of one organisation at this node.
 type account struct {
-	name   coltsfootward.OrganisationName
-	limit  coltsfootward.Rate
-	share  rate.DivisionTracker
-	purse  rate.TokenCache
-	demand rate.Demand
+	name       coltsfootward.OrganisationName
+	limit      coltsfootward.Rate
+	division   rate.DivisionTracker
+	tokenCache rate.TokenCache
+	demand     rate.Demand
 	// creationSeen is set if the organisation was created while this node was
 	// running.
 	creationSeen bool
@@ -63,9 +63,9 @@
 	nextPrefetch time.Duration
 }
 
-// rateComponent enforces each organisation's rate and burst over all nodes together.
-// It draws tokens from the slot holders and spends them, and it grants tokens
-// for the slots that this node holds.
+// rateComponent enforces each organisation's rate and burst over all nodes
+// together. It draws tokens from the slot holders and spends them, and it
+// grants tokens for the slots that this node holds.
 type rateComponent struct {
 	node         *Node
 	revision     coltsfootward.Revision
@@ -108,7 +108,7 @@
 			a.waiters = a.waiters[1:]
 			continue
 		}
-		token, ok := a.purse.Take(p.node.now, minRemainingLifetime)
+		token, ok := a.tokenCache.Take(p.node.now, minRemainingLifetime)
 		if !ok {
 			return
 		}
@@ -133,8 +133,8 @@
 // random delay, so that callers refused together do not return together.
 func (p *rateComponent) retryAfter(a *account) time.Duration {
 	first := time.Duration(-1)
-	for _, view := range a.parts {
-		wait := max(view.emptyUntil-p.node.now.Monotonic, 0)
+	for _, state := range a.parts {
+		wait := max(state.emptyUntil-p.node.now.Monotonic, 0)
 		if first < 0 || wait < first {
 			first = wait
 		}
@@ -147,14 +147,15 @@
 // as long as the token has not expired. The zero admission is ignored.
 //
 // The token is not returned to the holder's bucket. That bucket may have been
-// full in the meantime and have refilled the token's room already; after a
-// further draw the returned token would exceed the bucket's depth.
+// full in the meantime, so that the token's place in it was refilled already.
+// After a further draw, the returned token would come on top of what the
+// bucket's depth allows.
 func (p *rateComponent) release(organisation coltsfootward.OrganisationName, unspent admission) {
 	a, ok := p.accounts[organisation]
 	if !ok || unspent.token.Tokens == 0 || unspent.expires <= p.node.now.Expiry {
 		return
 	}
-	a.purse.Add(unspent.token)
+	a.tokenCache.Add(unspent.token)
 }
 
 func (p *rateComponent) tick() {
@@ -208,10 +209,10 @@
 	return p.node.options.ConfigurationSpread + rate.MaximumLifetime
 }
 
-func (p *rateComponent) setLimit(a *account, whole coltsfootward.Rate) {
-	a.limit = whole
-	division := rate.Divide(a.name, whole, p.node.options.Domains, p.node.options.Slots)
-	a.share.Change(p.node.now, division, p.raiseDelay())
+func (p *rateComponent) setLimit(a *account, limit coltsfootward.Rate) {
+	a.limit = limit
+	division := rate.Divide(a.name, limit, p.node.options.Domains, p.node.options.Slots)
+	a.division.Change(p.node.now, division, p.raiseDelay())
 	a.parts = make([]partState, len(division))
 	a.tokenLifetime = rate.MaximumLifetime
 	for _, part := range division {
--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -246,9 +246,9 @@
 	} {
 		f := newRatedFleet(5, 4, 2, c.rate)
 		f.rig.Run(15 * time.Second)
-		offered, refused, naive := f.sendPoisson(60*time.Second, c.share*c.rate.PerSecond, c.oneDom, c.rate)
-		t.Logf("%s: %d offered, %d refused, %d refused by a single bucket", c.name, offered, refused, naive)
-		if share := float64(refused-naive) / float64(offered); share > c.most {
+		offered, refused, refusedBySingle := f.sendPoisson(60*time.Second, c.share*c.rate.PerSecond, c.oneDom, c.rate)
+		t.Logf("%s: %d offered, %d refused, %d refused by a single bucket", c.name, offered, refused, refusedBySingle)
+		if share := float64(refused-refusedBySingle) / float64(offered); share > c.most {
 			t.Errorf("%s: got a fraction of %.3f of the requests refused beyond those of a single bucket, want at most %.3f", c.name, share, c.most)
 		}
 		if err := checkBound(f.starts(), c.rate); err != nil {
@@ -260,7 +260,7 @@
 // sendPoisson sends requests at random times. It returns the number of
 // requests, the number of refused ones, and the number that a single token
 // bucket with the full rate would refuse.
-func (f *ratedFleet) sendPoisson(d time.Duration, perSecond float64, oneDomain bool, rate coltsfootward.Rate) (offered, refused, naive int) {
+func (f *ratedFleet) sendPoisson(d time.Duration, perSecond float64, oneDomain bool, rate coltsfootward.Rate) (offered, refused, refusedBySingle int) {
 	var outcomes []*nodetest.Outcome
 	level, last := float64(rate.Burst), f.rig.Now()
 	for end := f.rig.Now() + d; f.rig.Now() < end; {
@@ -268,7 +268,7 @@
 		level = min(float64(rate.Burst), level+rate.PerSecond*(f.rig.Now()-last).Seconds())
 		last = f.rig.Now()
 		if level < 1 {
-			naive++
+			refusedBySingle++
 		} else {
 			level--
 		}
@@ -284,7 +284,7 @@
 			refused++
 		}
 	}
-	return len(outcomes), refused, naive
+	return len(outcomes), refused, refusedBySingle
 }
 
 // Guards against a panic when the only node of a failure domain drains while
--- a/core/node/renewal.go
+++ b/core/node/renewal.go
@@ -19,8 +19,8 @@
 
 // renew draws a new token for a call that has waited longer than the lifetime
 // of its first one. The call keeps its slot meanwhile: a draw takes one round
-// trip at most, and if the slot went to the next call, that one would have to
-// wait in turn.
+// trip at most, and if the slot went to the next call, that call would have to
+// wait in its turn.
 func (p *upstreamComponent) renew(call *upstreamCall) {
 	call.renewing = true
 	p.node.rate.acquire(upstreamWaiter{component: p, call: call})
--- a/core/node/shed_rank.go
+++ b/core/node/shed_rank.go
@@ -43,7 +43,8 @@
 // refuse some requests every time under a long overload, and their callers
 // would give up after a few tries while others succeed at once. A caller that
 // overstates its number of retries only gets ahead of requests of its own
-// organisation, because turns between organisations do not depend on the rank.
+// organisation, because fair queueing between organisations does not depend on
+// the rank.
 func agedRank(rank uint32, attempt int) uint32 {
 	priorityBits := rank &^ (1<<shedHashBits - 1)
 	hash := rank & (1<<shedHashBits - 1)
--- a/core/node/table.go
+++ b/core/node/table.go
@@ -47,7 +47,7 @@
 	p.node.act(TransactTable{Operation: id, Transaction: t})
 }
 
-func (p *tableComponent) operationAnswered(e TableResult) {
+func (p *tableComponent) resultReceived(e TableResult) {
 	done, ok := p.pending[e.Operation]
 	if !ok {
 		return
--- a/core/node/token_waiter.go
+++ b/core/node/token_waiter.go
@@ -10,8 +10,9 @@
 // tokenWaiter waits for a token of an organisation's rate.
 type tokenWaiter interface {
 	organisation() coltsfootward.OrganisationName
-	// stillWaiting reports whether the token is still needed: since the token was
-	// requested, the caller may have gone away or its deadline may have passed.
+	// stillWaiting reports whether the token is still needed: since the token
+	// was requested, the caller may have gone away or its deadline may have
+	// passed.
 	stillWaiting() bool
 	admitted(granted admission)
 	overRate(retryAfter time.Duration, evidence []record.Field)
@@ -38,11 +39,11 @@
 // upstreamWaiter waits on behalf of a call whose admission expired before its
 // turn came.
 //
-// It serves queues in which calls wait longer than the lifetime of a token. The
-// tokens of an organisation whose burst is small in relation to its rate live
-// for 50 ms; behind slow work, nearly all of its requests would be refused
-// although the backend server has time for them. The first token counts as
-// spent, so the bound on the rate holds.
+// It is needed for queues in which calls wait longer than the lifetime of a
+// token. The tokens of an organisation whose burst is small in relation to its
+// rate live for 50 ms; behind slow work, nearly all of its requests would be
+// refused although the backend server has time for them. The first token counts
+// as spent, so the bound on the rate holds.
 type upstreamWaiter struct {
 	component *upstreamComponent
 	call      *upstreamCall
--- a/core/node/upstream.go
+++ b/core/node/upstream.go
@@ -29,17 +29,17 @@
 	token CallToken
 	// dispatchedAt is when the call was dispatched, by Instant.Monotonic.
 	dispatchedAt time.Duration
-	// escrow holds the attempts that child calls may still use.
-	escrow *attempt.Budget
+	// budget holds the attempts that child calls may still use.
+	budget *attempt.Budget
 	// childRefused is set once a child call of the request was refused;
 	// childRetryAfter is the Retry-After of that refusal.
 	childRefused    bool
 	childRetryAfter time.Duration
 }
 
-// upstreamComponent queues and dispatches all requests for the local backend server.
-// Because every request passes through it, the node knows for certain which
-// ones were never started.
+// upstreamComponent queues and dispatches all requests for the local backend
+// server. Because every request passes through it, the node knows for certain
+// which ones were never started.
 type upstreamComponent struct {
 	node      *Node
 	calls     map[CallID]*upstreamCall
@@ -74,7 +74,7 @@
 		head:      e.Head,
 		arrivedAt: now,
 		deadline:  now + e.Head.Timeout - e.Age,
-		escrow:    attempt.NewBudget(e.Head.Budget),
+		budget:    attempt.NewBudget(e.Head.Budget),
 	}
 	if e.Head.StartWithin > 0 {
 		call.startBy = now + e.Head.StartWithin - e.Age
@@ -149,8 +149,8 @@
 
 // refuseQueued refuses all calls that wait for a backend server that must get
 // no more requests. If they were dispatched in their turn, they could reach the
-// server long after the end of its work was acknowledged; a call refused now
-// can go to another server.
+// server long after the stop of its requests was acknowledged; a call refused
+// now can go to another server.
 func (p *upstreamComponent) refuseQueued(detail string) {
 	for _, id := range sortedCalls(p.calls) {
 		call := p.calls[id]
@@ -192,22 +192,22 @@
 	return float64(p.inFlightRetries) / float64(p.inFlight)
 }
 
-// refuseShed refuses the calls that admission control has shed since it was
-// last asked.
+// refuseShed refuses the calls that admission control has shed since the last
+// call of refuseShed.
 func (p *upstreamComponent) refuseShed() {
 	for _, shed := range p.admission.Refused() {
-		text := "more important requests fill the backend server's queue"
+		detail := "more important requests fill the backend server's queue"
 		switch shed.Reason {
 		case admissioncontrol.ReasonWaited:
-			text = "the backend server is busy and the request has waited as long as any may"
+			detail = "the backend server is busy and the request has waited as long as any may"
 		case admissioncontrol.ReasonDeadline:
-			text = "the backend server cannot finish the request in the caller's time"
+			detail = "the backend server cannot finish the request in the caller's time"
 		case admissioncontrol.ReasonCold:
-			text = "the backend server is cold and bears only few requests"
+			detail = "the backend server is cold and bears only few requests"
 		case admissioncontrol.ReasonStartBy:
-			text = "the backend server is busy for longer than the request's admission lasts"
+			detail = "the backend server is busy for longer than the request's admission lasts"
 		}
-		r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, text).
+		r := coltsfootward.NewRefusal(coltsfootward.RefusalOverloaded, detail).
 			WithRetryAfter(p.node.jitter(p.admission.RetryAfter(p.node.now.Expiry)))
 		if shed.Reason == admissioncontrol.ReasonCold {
 			r = p.cold.withRetryAfter(r)
--- a/core/node/upstream_end.go
+++ b/core/node/upstream_end.go
@@ -36,7 +36,7 @@
 			WithExecution(coltsfootward.ExecutionUnknown))
 	case DispatchAnswered:
 		delete(p.calls, call.id)
-		p.node.act(EndResponse{Call: call.id, Load: p.load(call.head), Attempts: call.escrow.Used(), Needed: call.escrow.Needed()})
+		p.node.act(EndResponse{Call: call.id, Load: p.load(call.head), Attempts: call.budget.Used(), Needed: call.budget.Needed()})
 	default:
 		delete(p.calls, call.id)
 	}
@@ -109,7 +109,7 @@
 	delete(p.calls, call.id)
 	used := 0
 	if r.Execution != coltsfootward.ExecutionNotRun {
-		used = call.escrow.Used()
+		used = call.budget.Used()
 	}
 	p.sendRefusal(call, r, used)
 }
--- a/core/node/upstream_queue.go
+++ b/core/node/upstream_queue.go
@@ -30,11 +30,11 @@
 // queuePriority combines a request's two priorities into its priority in the
 // queue. Without a secondary priority only every fourth value is used.
 func queuePriority(head message.Call) int {
-	second := 0
+	secondary := 0
 	if head.SecondaryPriority != "" {
-		second = head.SecondaryPriority.Rank()
+		secondary = head.SecondaryPriority.Rank()
 	}
-	return head.Priority.Rank()*len(coltsfootward.Priorities()) + second
+	return head.Priority.Rank()*len(coltsfootward.Priorities()) + secondary
 }
 
 // classOf returns the class of work that a request belongs to: its route if it
--- a/core/rate/bucket.go
+++ b/core/rate/bucket.go
@@ -59,8 +59,8 @@
 	// RetryAfter is the delay before the next draw if fewer tokens were drawn than
 	// needed.
 	RetryAfter time.Duration
-	// Level is the number of whole tokens left in the bucket.
-	Level int64
+	// Remaining is the number of whole tokens left in the bucket.
+	Remaining int64
 }
 
 // SetPart sets the bucket's parameters to those of another part. Tokens in the
@@ -81,7 +81,7 @@
 		tokens += min(max(prefetch, 0), (available-tokens)/prefetchDivisor)
 	}
 	b.level -= tokens * Token
-	grant := Grant{Tokens: tokens, Lifetime: b.parameters.Lifetime, Level: b.level / Token}
+	grant := Grant{Tokens: tokens, Lifetime: b.parameters.Lifetime, Remaining: b.level / Token}
 	if tokens < need {
 		grant.RetryAfter = b.retryDelay(need - tokens)
 	}
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -189,7 +189,7 @@
 		return
 	}
 	e.start = append(e.start, p...)
-	if len(e.start) > node.MaximumKeptAnswer {
+	if len(e.start) > node.MaximumRetainedAnswerBytes {
 		e.keep = false
 		e.start = nil
 	}
