--- a/core/message/codec.go
+++ b/core/message/codec.go
@@ -15,14 +15,14 @@
 
 // The number of array elements of each type on the wire.
 const (
-	callFields     = 21
-	loadFields     = 8
-	pressureFields = 3
-	responseFields = 4
-	endFields      = 2
-	drawFields     = 7
-	grantFields    = 8
-	instanceFields = 5
+	callFields        = 21
+	loadFields        = 8
+	pressureFields    = 3
+	responseFields    = 4
+	responseEndFields = 2
+	drawFields        = 7
+	grantFields       = 8
+	instanceFields    = 5
 )
 
 // writer encodes fields and retains the first error.
@@ -202,11 +202,11 @@
 	w.fraction(l.Excess)
 	w.fraction(l.Cost)
 	w.fields(len(l.Downstream))
-	for _, below := range l.Downstream {
+	for _, downstream := range l.Downstream {
 		w.fields(pressureFields)
-		w.text(string(below.Service))
-		w.fraction(below.Excess)
-		w.fraction(below.Cost)
+		w.text(string(downstream.Service))
+		w.fraction(downstream.Excess)
+		w.fraction(downstream.Cost)
 	}
 	return w.err
 }
@@ -225,11 +225,11 @@
 	l.Downstream = nil
 	for range r.length() {
 		r.fields(pressureFields)
-		below := Pressure{Service: coltsfootward.ServiceName(r.text()), Excess: r.fraction(), Cost: r.fraction()}
+		downstream := Pressure{Service: coltsfootward.ServiceName(r.text()), Excess: r.fraction(), Cost: r.fraction()}
 		if r.err != nil {
 			return r.err
 		}
-		l.Downstream = append(l.Downstream, below)
+		l.Downstream = append(l.Downstream, downstream)
 	}
 	return r.err
 }
@@ -268,7 +268,7 @@
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (e *ResponseEnd) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	w := writer{encoder: encoder}
-	w.fields(endFields)
+	w.fields(responseEndFields)
 	w.number(int64(e.Attempts))
 	w.number(int64(e.Needed))
 	return w.err
@@ -277,7 +277,7 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (e *ResponseEnd) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	r := reader{decoder: decoder}
-	r.fields(endFields)
+	r.fields(responseEndFields)
 	e.Attempts = int(r.number())
 	e.Needed = int(r.number())
 	return r.err
--- a/core/node/bucket.go
+++ b/core/node/bucket.go
@@ -69,8 +69,8 @@
 // starts full only if that is impossible: the slot had no earlier holder, or
 // the organisation was created so long after the start of the epoch that no
 // earlier holder knew it. After a change that moved tokens between parts it
-// starts empty as well, since the share that a part gains may have been granted
-// at another part.
+// starts empty as well, since the tokens that a part gains may have been
+// granted by the holder of another part.
 func (p *rateComponent) newBucket(a *account, term slotTerm, part rate.Part) *rate.Bucket {
 	since := max(term.began.Monotonic, a.division.EffectiveAt())
 	unused := term.first || (a.creationSeen && a.firstSeen >= term.began.Monotonic+p.node.options.ConfigurationSpread)
--- a/core/node/claims.go
+++ b/core/node/claims.go
@@ -37,7 +37,7 @@
 	call    *entryCall
 	request claim.Request
 	slot    slotID
-	// holder is the instance that was asked last.
+	// holder is the instance to which the request was last sent.
 	holder coltsfootward.Instance
 	// redirects counts the answers from nodes that do not hold the slot.
 	redirects int
@@ -314,8 +314,9 @@
 	}
 }
 
-// noteUnanswered records that the instance asked last did not answer, so that
-// the next assumed holder of the slot is asked.
+// noteUnanswered records that the instance to which the request was last sent
+// did not answer, so that the request goes to the next assumed holder of the
+// slot.
 func (p *claimsComponent) noteUnanswered(c *entryClaim) {
 	if c.holder.ID != "" && c.holder.ID != p.node.options.Self.ID {
 		p.slots.noteHolder(c.slot, coltsfootward.Instance{})
--- a/core/node/configuration.go
+++ b/core/node/configuration.go
@@ -100,6 +100,8 @@
 	return p.node.source.IntN(max(m.Size(), 1)) == 0
 }
 
+// refresh reads the changes after the current revision from the table. If the
+// next change has been deleted there, it restores the full configuration.
 func (p *configurationComponent) refresh() {
 	p.scanning = true
 	p.refreshRequested = false
@@ -124,6 +126,7 @@
 	})
 }
 
+// decodeChanges decodes the rows before the first one that is malformed.
 func decodeChanges(rows []coltsfootward.Row) []coltsfootward.Change {
 	var changes []coltsfootward.Change
 	for _, row := range rows {
@@ -163,6 +166,8 @@
 	p.push(applied)
 }
 
+// configurationChanged notifies the components that depend on the
+// configuration. The applied changes are nil after a full configuration.
 func (p *configurationComponent) configurationChanged(applied []coltsfootward.Change) {
 	p.node.rate.applyChanges(applied)
 	for _, change := range applied {
@@ -186,6 +191,9 @@
 	}
 }
 
+// pushTargets returns the members to which changes are pushed: pushFanout
+// members of the own failure domain, and at most one of another, randomly
+// chosen one.
 func (p *configurationComponent) pushTargets() []coltsfootward.Instance {
 	m := p.node.membership.machine
 	targets := m.Neighbours(p.node.options.Self.Domain, pushFanout)
@@ -220,6 +228,7 @@
 	}
 }
 
+// pullFrom requests newer changes from a peer, at most once per pullInterval.
 func (p *configurationComponent) pullFrom(peer coltsfootward.InstanceID) {
 	now := p.node.now.Monotonic
 	if now-p.lastPull < pullInterval {
@@ -235,6 +244,9 @@
 	}
 }
 
+// pullReceived answers a peer's request with changes. It sends a full
+// configuration instead if the history does not reach back far enough, and
+// always in a routed deployment.
 func (p *configurationComponent) pullReceived(from coltsfootward.InstanceID, m message.ConfigurationPull) {
 	if m.After >= p.current.Revision() {
 		return
@@ -252,6 +264,8 @@
 	p.send(from, &message.ConfigurationChanges{Changes: boundedChanges(newer)})
 }
 
+// changesReceived applies a peer's changes. If more may follow, it requests
+// them from the same peer immediately.
 func (p *configurationComponent) changesReceived(from coltsfootward.InstanceID, m message.ConfigurationChanges) {
 	before := p.current.Revision()
 	p.apply(m.Changes)
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -121,7 +121,7 @@
 	return o.Refusal.Kind != coltsfootward.RefusalUnauthenticated && o.Refusal.Kind != coltsfootward.RefusalConfiguration
 }
 
-func (f *fleet) countAccepting() int {
+func (f *fleet) countAcceptingKey() int {
 	count := 0
 	for _, m := range f.members {
 		if m.Alive() && acceptsKey(m) {
@@ -291,20 +291,20 @@
 		t.Run(fmt.Sprintf("platform slower by %v", slow), func(t *testing.T) {
 			f := newFleet(6, 3, 8)
 			f.settle(t)
-			if got := f.countAccepting(); got != 24 {
+			if got := f.countAcceptingKey(); got != 24 {
 				t.Fatalf("before the withdrawal: key accepted at %d nodes, want 24", got)
 			}
 			f.Table.Slow = slow
 			began := f.Now()
 			f.members[10].Node().WithdrawKey(tradersKey)
 			f.After(slow, f.withdraw)
-			if !f.RunUntil(5*time.Second, func() bool { return f.countAccepting() == 0 }) {
-				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAccepting())
+			if !f.RunUntil(5*time.Second, func() bool { return f.countAcceptingKey() == 0 }) {
+				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAcceptingKey())
 			}
 			t.Logf("key rejected everywhere after %v", f.Now()-began)
 			for range 60 {
 				f.Run(time.Second)
-				if got := f.countAccepting(); got != 0 {
+				if got := f.countAcceptingKey(); got != 0 {
 					t.Fatalf("key accepted again at %d nodes after %v", got, f.Now()-began)
 				}
 			}
@@ -325,16 +325,16 @@
 	f.settle(t)
 	f.Table.Outage = true
 	f.Run(time.Hour)
-	if got := f.countAccepting(); got != 6 {
+	if got := f.countAcceptingKey(); got != 6 {
 		t.Fatalf("after an outage of 1 h: key accepted at %d nodes, want 6", got)
 	}
 	f.CutDomain("domain-1", true)
 	f.Run(9 * time.Minute)
-	if got := f.countAccepting(); got != 6 {
+	if got := f.countAcceptingKey(); got != 6 {
 		t.Errorf("within the grace period: key accepted at %d nodes, want 6", got)
 	}
 	f.Run(3 * time.Minute)
-	if got := f.countAccepting(); got != 4 || acceptsKey(f.members[2]) || acceptsKey(f.members[3]) {
+	if got := f.countAcceptingKey(); got != 4 || acceptsKey(f.members[2]) || acceptsKey(f.members[3]) {
 		t.Errorf("after the grace period: key accepted at %d nodes, want 4, none of them isolated", got)
 	}
 	f.members[2].Kill()
@@ -344,8 +344,8 @@
 		t.Errorf("restarted while isolated: accepts key %v at revision %d, want false at %d", acceptsKey(f.members[2]), f.members[2].Node().Configuration().Revision(), f.submitted)
 	}
 	f.HealDomain("domain-1")
-	if !f.RunUntil(15*time.Second, func() bool { return f.countAccepting() == 6 }) {
-		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAccepting())
+	if !f.RunUntil(15*time.Second, func() bool { return f.countAcceptingKey() == 6 }) {
+		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAcceptingKey())
 	}
 	suspended := f.members[0]
 	suspended.Suspend()
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -188,7 +188,8 @@
 	Cold time.Duration
 }
 
-// DrainRequested asks the node to stop: it accepts no new work from then on.
+// DrainRequested makes the node drain: it accepts no new work and stops when
+// its work is done.
 type DrainRequested struct{}
 
 // FinishRequested reports that the callers have been disconnected: a draining
--- a/core/node/handover.go
+++ b/core/node/handover.go
@@ -13,8 +13,8 @@
 	// handoverPageClaims is the maximum number of claims in one message. A
 	// claim takes about 150 bytes, so a page is far below the frame size limit.
 	handoverPageClaims = 1000
-	// handoverLifetime is how long a received handover is kept for this node to
-	// acquire the slot.
+	// handoverLifetime is how long a received handover is retained, in case
+	// this node acquires the slot.
 	handoverLifetime = 2 * time.Minute
 )
 
--- a/core/node/key.go
+++ b/core/node/key.go
@@ -127,7 +127,7 @@
 
 // checkContact makes the node reject all keys after it was isolated for too
 // long. Otherwise a caller on the isolated side of a network partition could
-// use a withdrawn key for the whole partition.
+// use a withdrawn key for as long as the partition lasts.
 func (p *configurationComponent) checkContact() {
 	contact := &p.contact
 	now := p.node.now.Expiry
--- a/core/node/lease.go
+++ b/core/node/lease.go
@@ -17,7 +17,7 @@
 // slotWatchers is the number of nodes that read the record of one slot: its
 // holder and the candidates to succeed it. Other nodes never read the record,
 // so that the load on the platform does not grow with the number of nodes; they
-// learn the holder from the answers of the nodes that they ask.
+// learn the holder from the answers to their own requests.
 const slotWatchers = 3
 
 // rankInterval is the time between two computations of the slots' candidates.
@@ -48,7 +48,8 @@
 	// holder answered as the holder or was named as the holder by another node.
 	// It is empty if the holder is unknown.
 	holder coltsfootward.Instance
-	// misses counts the candidates that were asked and did not hold the slot.
+	// misses counts the candidates that answered that they do not hold the
+	// slot, or did not answer, since the holder was last known.
 	misses int
 }
 
@@ -315,7 +316,7 @@
 	return p.slots[id.index], true
 }
 
-// holder returns the instance to ask for a slot.
+// holder returns the instance to which messages about a slot are sent.
 func (p *leaseComponent) holder(id slotID) (coltsfootward.Instance, bool) {
 	if s, ok := p.localSlot(id); ok && s.Held(p.node.now) {
 		return p.node.options.Self, true
@@ -350,14 +351,16 @@
 	*p.hint(id) = holderHint{holder: holder}
 }
 
-// holderMissed records that the instance asked last does not hold the slot.
+// holderMissed records that the instance last contacted about the slot does not
+// hold it, or does not answer.
 func (p *leaseComponent) holderMissed(id slotID) {
 	hint := p.hint(id)
 	*hint = holderHint{misses: hint.misses + 1}
 }
 
-// lastKnownHolder returns the holder of a slot in this node's failure domain,
-// for a node that asked this one although it does not hold the slot.
+// lastKnownHolder returns the holder of a slot in this node's failure domain.
+// It is sent to a node that contacted this one although this one does not hold
+// the slot.
 func (p *leaseComponent) lastKnownHolder(id slotID) coltsfootward.Instance {
 	s, ok := p.localSlot(id)
 	if !ok {
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -32,15 +32,20 @@
 	lease         *leaseComponent
 	assigned      *assignedSlots
 	slots         slotDirectory
-	meter         pressure.Meter
-	throttle      pressure.Throttle
-	callees       pressure.Callees
-	gates         pressure.Gates
-	claims        *claimsComponent
-	ledger        *ledgerComponent
-	entry         *entryComponent
-	upstream      *upstreamComponent
-	table         *tableComponent
+	// meter and throttle measure the demand on the local backend server and
+	// determine the fraction of it that entry nodes should refuse. callees
+	// estimates which child calls the requests of each class make. gates refuse
+	// requests on their entry node.
+	meter    pressure.Meter
+	throttle pressure.Throttle
+	callees  pressure.Callees
+	gates    pressure.Gates
+
+	claims   *claimsComponent
+	ledger   *ledgerComponent
+	entry    *entryComponent
+	upstream *upstreamComponent
+	table    *tableComponent
 }
 
 // New returns a node that has no configuration yet and knows no peer. All
--- a/core/node/placement.go
+++ b/core/node/placement.go
@@ -141,8 +141,8 @@
 		return
 	}
 	reported := []pressure.Report{{Service: call.head.Service, Excess: load.Excess, Cost: load.Cost, Cold: load.Cold > 0}}
-	for _, below := range load.Downstream {
-		reported = append(reported, pressure.Report{Service: below.Service, Excess: below.Excess, Cost: below.Cost})
+	for _, downstream := range load.Downstream {
+		reported = append(reported, pressure.Report{Service: downstream.Service, Excess: downstream.Excess, Cost: downstream.Cost})
 	}
 	p.node.gates.ObserveResponse(p.node.now.Monotonic, call.head.Route, reported)
 }
--- a/core/node/slots.go
+++ b/core/node/slots.go
@@ -34,11 +34,12 @@
 	// holder returns the instance that is assumed to hold the slot.
 	holder(id slotID) (coltsfootward.Instance, bool)
 	// lastKnownHolder returns the holder of a slot in this node's failure
-	// domain, as last seen by this node, for a peer that asked this node in
+	// domain, as last seen by this node, for a peer that contacted this node in
 	// error. It is empty if the holder is unknown.
 	lastKnownHolder(id slotID) coltsfootward.Instance
-	// noteHolder records that the instance asked last does not hold the slot.
-	// holder is the actual holder, or empty if it is unknown.
+	// noteHolder records that holder holds the slot. An empty holder means that
+	// the instance last contacted does not hold it or does not answer, and that
+	// the actual holder is unknown.
 	noteHolder(id slotID, holder coltsfootward.Instance)
 	// term returns this node's term of the slot if the node holds the slot now.
 	term(id slotID) (slotTerm, bool)
--- a/core/node/upstream_queue.go
+++ b/core/node/upstream_queue.go
@@ -61,7 +61,7 @@
 	return method + " " + path[:end]
 }
 
-// check refuses calls that cannot be served on this node at all.
+// check returns a refusal for a call that cannot be served on this node at all.
 func (p *upstreamComponent) check(call *upstreamCall) *coltsfootward.Refusal {
 	local := p.node.membership.local
 	if local.Service == "" || local.Service != call.head.Service {
@@ -79,6 +79,8 @@
 	return p.checkDeadlines(call)
 }
 
+// checkDeadlines returns a refusal for a call whose deadline has passed or
+// whose admission has expired.
 func (p *upstreamComponent) checkDeadlines(call *upstreamCall) *coltsfootward.Refusal {
 	now := p.node.now.Expiry
 	if now >= call.deadline {
