--- a/core/message/codec.go
+++ b/core/message/codec.go
@@ -15,14 +15,14 @@
 
 // The number of array elements of each type on the wire.
 const (
-	callFields     = 21
-	loadFields     = 8
-	pressureFields = 3
-	answerFields   = 4
-	endFields      = 2
-	drawFields     = 7
-	grantFields    = 8
-	instanceFields = 5
+	callFields        = 21
+	loadFields        = 8
+	pressureFields    = 3
+	responseFields    = 4
+	responseEndFields = 2
+	drawFields        = 7
+	grantFields       = 8
+	instanceFields    = 5
 )
 
 // writer encodes fields and retains the first error.
@@ -86,8 +86,9 @@
 // length reads the number of elements that follow.
 func (r *reader) length() int { return max(read(r, r.decoder.DecodeArrayLen), 0) }
 
-// maximumPreallocation bounds the number of values for which memory is allocated in advance
-// on the strength of a length that a peer sent.
+// maximumPreallocation bounds the number of values for which memory is allocated in
+// advance for a length that a peer sent. A malformed length can therefore not allocate
+// much memory.
 const maximumPreallocation = 64
 
 func (r *reader) header() map[string][]string {
@@ -201,11 +202,11 @@
 	w.fraction(l.Excess)
 	w.fraction(l.Cost)
 	w.fields(len(l.Downstream))
-	for _, below := range l.Downstream {
+	for _, downstream := range l.Downstream {
 		w.fields(pressureFields)
-		w.text(string(below.Service))
-		w.fraction(below.Excess)
-		w.fraction(below.Cost)
+		w.text(string(downstream.Service))
+		w.fraction(downstream.Excess)
+		w.fraction(downstream.Cost)
 	}
 	return w.err
 }
@@ -224,42 +225,42 @@
 	l.Downstream = nil
 	for range r.length() {
 		r.fields(pressureFields)
-		below := Pressure{Service: coltsfootward.ServiceName(r.text()), Excess: r.fraction(), Cost: r.fraction()}
+		downstream := Pressure{Service: coltsfootward.ServiceName(r.text()), Excess: r.fraction(), Cost: r.fraction()}
 		if r.err != nil {
 			return r.err
 		}
-		l.Downstream = append(l.Downstream, below)
+		l.Downstream = append(l.Downstream, downstream)
 	}
 	return r.err
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (a *Response) EncodeMsgpack(encoder *msgpack.Encoder) error {
+func (resp *Response) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	w := writer{encoder: encoder}
-	w.fields(answerFields)
-	w.number(int64(a.Status))
-	w.header(a.Header)
-	w.flag(a.Refusal != nil)
-	if a.Refusal != nil {
-		w.setError(encoder.Encode(a.Refusal))
+	w.fields(responseFields)
+	w.number(int64(resp.Status))
+	w.header(resp.Header)
+	w.flag(resp.Refusal != nil)
+	if resp.Refusal != nil {
+		w.setError(encoder.Encode(resp.Refusal))
 	}
-	w.setError(a.Load.EncodeMsgpack(encoder))
+	w.setError(resp.Load.EncodeMsgpack(encoder))
 	return w.err
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (a *Response) DecodeMsgpack(decoder *msgpack.Decoder) error {
+func (resp *Response) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	r := reader{decoder: decoder}
-	r.fields(answerFields)
-	a.Status = int(r.number())
-	a.Header = r.header()
-	a.Refusal = nil
+	r.fields(responseFields)
+	resp.Status = int(r.number())
+	resp.Header = r.header()
+	resp.Refusal = nil
 	if refused := r.flag(); refused && r.err == nil {
-		a.Refusal = new(coltsfootward.Refusal)
-		r.err = decoder.Decode(a.Refusal)
+		resp.Refusal = new(coltsfootward.Refusal)
+		r.err = decoder.Decode(resp.Refusal)
 	}
 	if r.err == nil {
-		r.err = a.Load.DecodeMsgpack(decoder)
+		r.err = resp.Load.DecodeMsgpack(decoder)
 	}
 	return r.err
 }
@@ -267,7 +268,7 @@
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (e *ResponseEnd) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	w := writer{encoder: encoder}
-	w.fields(endFields)
+	w.fields(responseEndFields)
 	w.number(int64(e.Attempts))
 	w.number(int64(e.Needed))
 	return w.err
@@ -276,7 +277,7 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (e *ResponseEnd) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	r := reader{decoder: decoder}
-	r.fields(endFields)
+	r.fields(responseEndFields)
 	e.Attempts = int(r.number())
 	e.Needed = int(r.number())
 	return r.err
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -192,13 +192,13 @@
 }
 
 // retain adds p to the retained body. It discards the body once the size exceeds
-// node.MaximumKeptAnswer.
+// node.MaximumRetainedAnswerBytes.
 func (e *exchange) retain(p []byte) {
 	if !e.retained {
 		return
 	}
 	e.prefix = append(e.prefix, p...)
-	if len(e.prefix) > node.MaximumKeptAnswer {
+	if len(e.prefix) > node.MaximumRetainedAnswerBytes {
 		e.retained = false
 		e.prefix = nil
 	}
