--- a/core/nodetest/chain_test.go
+++ b/core/nodetest/chain_test.go
@@ -11,11 +11,12 @@
 	"coltsfootward/core/nodetest"
 )
 
-// deepest is how many services one request passes at the most.
-const deepest = 7
+// maxDepth is the highest number of services that one request passes through.
+const maxDepth = 7
 
-// newDefaultChain returns a rig in which each service calls the next one, all by one
-// node and backend server each, with every option at its default.
+// newDefaultChain returns a rig in which each service calls the next one, and its
+// first member. Each service has one node and one backend server, and every
+// option has its default.
 func newDefaultChain(seed uint64) (*nodetest.Rig, *nodetest.Member) {
 	r := nodetest.New(seed)
 	domains := []coltsfootward.FailureDomain{"north"}
@@ -24,12 +25,12 @@
 		coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: key, Organisation: "traders"}},
 	)
 	var first *nodetest.Member
-	for depth := range deepest {
+	for depth := range maxDepth {
 		service := coltsfootward.ServiceName(fmt.Sprintf("service-%d", depth))
 		r.Submit(coltsfootward.Change{Service: &coltsfootward.Service{Name: service}})
 		m := r.Add(node.Options{Self: nodetest.Instance(coltsfootward.InstanceID(fmt.Sprintf("north-%d", depth)), "north"), Domains: domains})
 		m.Announce(service, 4)
-		if depth+1 < deepest {
+		if depth+1 < maxDepth {
 			next := coltsfootward.ServiceName(fmt.Sprintf("service-%d", depth+1))
 			m.Backend.Children = func(message.Call) []nodetest.Request { return []nodetest.Request{{Service: next}} }
 		}
@@ -41,11 +42,12 @@
 	return r, first
 }
 
-// The first callers after a deployment starts are refused for want of attempts,
-// although nothing fails. No node has seen how many calls its backend server
-// makes, so each keeps half of the attempts back for a second call, and the
-// deepest service is left without any.
-func TestFirstRequestPassesTheDeepestChain(t *testing.T) {
+// Guards against the first requests after the start of a deployment being refused
+// because their attempt budget is used up, although nothing fails. No node has
+// observed yet how many child calls its backend server makes. If each node reserved
+// half of the attempts for a second child call, none would remain for the last
+// service of the chain.
+func TestFirstRequestsPassDeepestChain(t *testing.T) {
 	r, first := newDefaultChain(1)
 	for i := range 5 {
 		o := first.Send(nodetest.Request{Key: key, Service: "service-0"})
--- a/core/nodetest/claim_test.go
+++ b/core/nodetest/claim_test.go
@@ -16,7 +16,7 @@
 )
 
 // orders is a rig with three failure domains and two backend servers of the
-// service orders, each in another domain.
+// service orders in two of the domains.
 type orders struct {
 	rig     *nodetest.Rig
 	members []*nodetest.Member
@@ -41,12 +41,12 @@
 			m.Announce("orders", 4)
 		}
 	}
-	o.rig.Run(10 * time.Second) // until each slot has its holder
+	o.rig.Run(10 * time.Second) // until each slot has a holder
 	return o
 }
 
-// mint returns an idempotency key that carries the rig's time.
-func (o *orders) mint() string {
+// newTimestampedKey returns an idempotency key that contains its creation time.
+func (o *orders) newTimestampedKey() string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(o.rig.Wall().UnixMilli())<<16|7<<12)
 	binary.BigEndian.PutUint64(id[8:], 0x80<<56|o.rig.Source().Uint64()>>2)
@@ -59,7 +59,7 @@
 	return outcome
 }
 
-// runs counts how often each key reached a backend server.
+// runs returns, for each idempotency key, how often it reached a backend server.
 func (o *orders) runs() map[string]int {
 	counts := make(map[string]int)
 	for _, m := range o.members {
@@ -70,27 +70,29 @@
 	return counts
 }
 
-// check compares what ran with what the callers were told.
-func (o *orders) check(t interface{ Errorf(string, ...any) }) {
+// checkAtMostOnce verifies that each order ran at most once. If an order ran, not all
+// of its requests may have been refused as not_run.
+func (o *orders) checkAtMostOnce(t interface{ Errorf(string, ...any) }) {
 	runs := o.runs()
 	for idempotencyKey, outcomes := range o.sent {
 		if runs[idempotencyKey] > 1 {
 			t.Errorf("key %s: got %d runs, want at most 1", idempotencyKey, runs[idempotencyKey])
 		}
-		told := false
+		mayHaveRun := false
 		for _, outcome := range outcomes {
-			told = told || outcome.Refusal == nil || outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
+			mayHaveRun = mayHaveRun || outcome.Refusal == nil || outcome.Refusal.Execution != coltsfootward.ExecutionNotRun
 		}
-		if runs[idempotencyKey] > 0 && !told {
-			t.Errorf("key %s ran, and all %d tries were told not_run", idempotencyKey, len(outcomes))
+		if runs[idempotencyKey] > 0 && !mayHaveRun {
+			t.Errorf("key %s ran, but all %d requests with it were refused as not_run", idempotencyKey, len(outcomes))
 		}
 	}
 }
 
-// A cooperative's order is sent again and again, through nodes of every failure
-// domain, while nodes die, pause and restart, links break, messages and answers
-// are lost and callers leave. Run twice it charges a farmer twice.
-func TestRepeatsThroughAnyNodeRunOnce(t *testing.T) {
+// Guards against an order that runs twice and thereby charges the customer twice.
+// Orders are repeated with the same idempotency key through nodes of every failure
+// domain, while nodes are killed, paused and restarted, links are partitioned,
+// messages and responses are lost, backend servers fail and callers cancel requests.
+func TestRepeatedRequestsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOrders(rapid.Uint64().Draw(t, "seed"))
 		loss := rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
@@ -100,7 +102,7 @@
 			o.rig.Run(time.Duration(rapid.SampledFrom([]int{0, 1, 3, 10, 100, 1000, 3_000}).Draw(t, "pass")) * time.Millisecond)
 		}
 		o.rig.Run(10 * time.Second)
-		o.check(t)
+		o.checkAtMostOnce(t)
 	})
 }
 
@@ -109,7 +111,7 @@
 	other := o.members[rapid.IntRange(0, len(o.members)-1).Draw(t, "other")]
 	switch rapid.SampledFrom([]string{"new", "again", "again", "again", "leave", "cut", "heal", "kill", "pause", "suspend", "fail"}).Draw(t, "step") {
 	case "new":
-		o.keys = append(o.keys, rapid.SampledFrom([]string{o.mint(), "west:" + o.mint(), fmt.Sprint("opaque-", len(o.keys))}).Draw(t, "key"))
+		o.keys = append(o.keys, rapid.SampledFrom([]string{o.newTimestampedKey(), "west:" + o.newTimestampedKey(), fmt.Sprint("opaque-", len(o.keys))}).Draw(t, "key"))
 	case "again":
 		if len(o.keys) > 0 {
 			o.place(m, rapid.SampledFrom(o.keys).Draw(t, "which"))
@@ -157,38 +159,40 @@
 	})
 }
 
-// In calm, a repeat gets the first answer, from any node; a key that was
-// refused as not run is free again; a key for another order is refused.
-func TestRepeatIsAnsweredAsTheFirst(t *testing.T) {
+// Without faults, a repeated request receives the response of the first one
+// through any node. While the first one runs, it is refused as a duplicate. The
+// same key with another body is refused as reused.
+func TestRepeatedRequestGetsFirstResponse(t *testing.T) {
 	o := newOrders(3)
-	order := o.mint()
+	order := o.newTimestampedKey()
 	first := o.place(o.members[0], order)
 	if !o.rig.RunUntil(time.Second, func() bool { return first.Attempts > 0 }) {
-		t.Fatalf("got %+v, want the first order forwarded", first)
+		t.Fatalf("got %+v, want the first request forwarded", first)
 	}
-	while := o.place(o.members[1], order)
+	concurrent := o.place(o.members[1], order)
 	o.rig.Run(time.Second)
-	if !first.Answered || while.Refusal == nil || while.Refusal.Kind != coltsfootward.RefusalDuplicate || while.Refusal.RetryAfter <= 0 {
-		t.Fatalf("got first %+v, repeat while it ran %+v with refusal %v; want an answer and %s", first, while, while.Refusal, coltsfootward.RefusalDuplicate)
+	if !first.Answered || concurrent.Refusal == nil || concurrent.Refusal.Kind != coltsfootward.RefusalDuplicate || concurrent.Refusal.RetryAfter <= 0 {
+		t.Fatalf("got first %+v, repeated request while it ran %+v with refusal %v; want an answer and %s", first, concurrent, concurrent.Refusal, coltsfootward.RefusalDuplicate)
 	}
 	for _, m := range o.members {
 		repeat := o.place(m, order)
 		o.rig.Run(time.Second)
 		if !repeat.Replayed || repeat.By != first.By {
-			t.Errorf("repeat through %s: got %+v, refusal %v, want the first answer", m.Instance.ID, repeat, repeat.Refusal)
+			t.Errorf("repeated request through %s: got %+v, refusal %v, want the first response", m.Instance.ID, repeat, repeat.Refusal)
 		}
 	}
-	changed := o.members[2].Send(nodetest.Request{Key: key, Service: "orders", Method: "POST", IdempotencyKey: order, Body: 7})
+	otherBody := o.members[2].Send(nodetest.Request{Key: key, Service: "orders", Method: "POST", IdempotencyKey: order, Body: 7})
 	o.rig.Run(time.Second)
-	if changed.Refusal == nil || changed.Refusal.Kind != coltsfootward.RefusalKeyReused {
-		t.Errorf("key for another order: got %+v, want %s", changed.Refusal, coltsfootward.RefusalKeyReused)
+	if otherBody.Refusal == nil || otherBody.Refusal.Kind != coltsfootward.RefusalKeyReused {
+		t.Errorf("key with another body: got %+v, want %s", otherBody.Refusal, coltsfootward.RefusalKeyReused)
 	}
-	o.check(t)
+	o.checkAtMostOnce(t)
 }
 
-// No backend server takes work, so an order ends as not run; its repeat must
-// not be refused as a duplicate once one is back.
-func TestKeyIsFreeAfterNothingRan(t *testing.T) {
+// Guards against a key that stays claimed although nothing ran. All backend servers
+// are draining, so an order is refused as not run. Once one accepts requests again,
+// the repeated order must run and not be refused as a duplicate.
+func TestKeyIsReusableAfterNotRun(t *testing.T) {
 	o := newOrders(4)
 	for _, m := range o.members {
 		if m.Backend.Slots > 0 {
@@ -196,7 +200,7 @@
 		}
 	}
 	o.rig.Run(5 * time.Second)
-	order := o.mint()
+	order := o.newTimestampedKey()
 	refused := o.place(o.members[0], order)
 	o.rig.Run(time.Second)
 	if refused.Refusal == nil || refused.Refusal.Execution != coltsfootward.ExecutionNotRun {
@@ -207,15 +211,16 @@
 	repeat := o.place(o.members[5], order)
 	o.rig.Run(time.Second)
 	if !repeat.Answered || repeat.Replayed {
-		t.Errorf("repeat: got %+v with refusal %v, want an answer of its own", repeat, repeat.Refusal)
+		t.Errorf("repeated request: got %+v with refusal %v, want a new response", repeat, repeat.Refusal)
 	}
-	o.check(t)
+	o.checkAtMostOnce(t)
 }
 
-// A lookup breaks off at one backend server and is then refused by another
-// node whose backend server has just changed its service. Told "not run", the
-// caller believes that nothing ran.
-func TestDoubtOfEarlierAttemptIsTold(t *testing.T) {
+// Guards against a refusal as not run although an earlier attempt may have run.
+// A request fails at one backend server and is then refused by another node whose
+// backend server has just changed its service. The refusal must report the
+// execution as unknown.
+func TestRefusalReportsUnknownExecutionOfEarlierAttempt(t *testing.T) {
 	r, north, south := newPair(5)
 	west := r.Add(node.Options{Self: nodetest.Instance("west-1", "south"), Domains: []coltsfootward.FailureDomain{"north", "south"}})
 	west.Announce("quotes", 4)
@@ -233,10 +238,10 @@
 	}
 }
 
-// The node that holds a domain's slots is restarted as planned. Callers with
-// keys that carry no time must not be held off for a window, and a repeat of an
-// order that ran before must not run again.
-func TestPlannedStopOfHolderHoldsOffNoKey(t *testing.T) {
+// Guards against a planned stop of the node that holds a domain's slots blocking
+// requests with opaque keys for the length of a retention window, and against a
+// repeated order running again because its claim was lost with the holder.
+func TestPlannedStopOfHolderBlocksNoKey(t *testing.T) {
 	o := newOrders(6)
 	order := func(i int) string { return fmt.Sprint("opaque-", i) }
 	for i := range 40 {
@@ -254,10 +259,10 @@
 		outcome := o.place(o.members[2], order(i))
 		o.rig.Run(100 * time.Millisecond)
 		if outcome.Refusal != nil && outcome.Refusal.Kind == coltsfootward.RefusalClaim {
-			t.Errorf("key %d: got refusal %v, want it served or told as run", i, outcome.Refusal)
+			t.Errorf("key %d: got refusal %v, want it executed or reported as executed", i, outcome.Refusal)
 		}
 	}
-	o.check(t)
+	o.checkAtMostOnce(t)
 	runs := o.runs()
 	for i := range 80 {
 		if runs[order(i)] != 1 {
