--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -75,8 +75,8 @@
 // domains, have the last revision in force.
 func (f *fleet) upToDate(domains ...coltsfootward.FailureDomain) bool {
 	for _, m := range f.members {
-		counts := len(domains) == 0 || slices.Contains(domains, m.Instance.Domain)
-		if m.Alive() && counts && m.Node().Configuration().Revision() != f.submitted {
+		included := len(domains) == 0 || slices.Contains(domains, m.Instance.Domain)
+		if m.Alive() && included && m.Node().Configuration().Revision() != f.submitted {
 			return false
 		}
 	}
@@ -121,7 +121,7 @@
 	return o.Refusal.Kind != coltsfootward.RefusalUnauthenticated && o.Refusal.Kind != coltsfootward.RefusalConfiguration
 }
 
-func (f *fleet) countAccepting() int {
+func (f *fleet) countAcceptingKey() int {
 	count := 0
 	for _, m := range f.members {
 		if m.Alive() && acceptsKey(m) {
@@ -181,22 +181,22 @@
 	f.CutDomain("domain-2", true)
 	f.Run(15 * time.Second)
 	f.changeIdleRate()
-	asked := f.members[3]
+	queried := f.members[3]
 	connected := func() bool {
-		confirmed, _ := f.confirmedDomains(asked)
+		confirmed, _ := f.confirmedDomains(queried)
 		return slices.Equal(confirmed, []coltsfootward.FailureDomain{"domain-0", "domain-1"})
 	}
 	if !f.RunUntil(10*time.Second, connected) {
-		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", asked.Node().InForce(f.submitted))
+		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", queried.Node().InForce(f.submitted))
 	}
 	f.Run(20 * time.Second)
-	if _, waiting := f.confirmedDomains(asked); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
+	if _, waiting := f.confirmedDomains(queried); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
 		t.Errorf("got %v unconfirmed, want domain-2 alone", waiting)
 	}
 	f.HealDomain("domain-2")
 	healed := f.Now()
-	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(asked); return len(confirmed) == 3 }) {
-		t.Errorf("got %v 13 s after the partition, want all confirmed", asked.Node().InForce(f.submitted))
+	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(queried); return len(confirmed) == 3 }) {
+		t.Errorf("got %v 13 s after the partition, want all confirmed", queried.Node().InForce(f.submitted))
 	}
 	t.Logf("confirmed everywhere %v after the partition", f.Now()-healed)
 }
@@ -291,20 +291,20 @@
 		t.Run(fmt.Sprintf("platform slower by %v", slow), func(t *testing.T) {
 			f := newFleet(6, 3, 8)
 			f.settle(t)
-			if got := f.countAccepting(); got != 24 {
+			if got := f.countAcceptingKey(); got != 24 {
 				t.Fatalf("before the withdrawal: key accepted at %d nodes, want 24", got)
 			}
 			f.Table.Slow = slow
 			began := f.Now()
 			f.members[10].Node().WithdrawKey(tradersKey)
 			f.After(slow, f.withdraw)
-			if !f.RunUntil(5*time.Second, func() bool { return f.countAccepting() == 0 }) {
-				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAccepting())
+			if !f.RunUntil(5*time.Second, func() bool { return f.countAcceptingKey() == 0 }) {
+				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAcceptingKey())
 			}
 			t.Logf("key rejected everywhere after %v", f.Now()-began)
 			for range 60 {
 				f.Run(time.Second)
-				if got := f.countAccepting(); got != 0 {
+				if got := f.countAcceptingKey(); got != 0 {
 					t.Fatalf("key accepted again at %d nodes after %v", got, f.Now()-began)
 				}
 			}
@@ -325,16 +325,16 @@
 	f.settle(t)
 	f.Table.Outage = true
 	f.Run(time.Hour)
-	if got := f.countAccepting(); got != 6 {
+	if got := f.countAcceptingKey(); got != 6 {
 		t.Fatalf("after an outage of 1 h: key accepted at %d nodes, want 6", got)
 	}
 	f.CutDomain("domain-1", true)
 	f.Run(9 * time.Minute)
-	if got := f.countAccepting(); got != 6 {
+	if got := f.countAcceptingKey(); got != 6 {
 		t.Errorf("within the grace period: key accepted at %d nodes, want 6", got)
 	}
 	f.Run(3 * time.Minute)
-	if got := f.countAccepting(); got != 4 || acceptsKey(f.members[2]) || acceptsKey(f.members[3]) {
+	if got := f.countAcceptingKey(); got != 4 || acceptsKey(f.members[2]) || acceptsKey(f.members[3]) {
 		t.Errorf("after the grace period: key accepted at %d nodes, want 4, none of them isolated", got)
 	}
 	f.members[2].Kill()
@@ -344,14 +344,14 @@
 		t.Errorf("restarted while isolated: accepts key %v at revision %d, want false at %d", acceptsKey(f.members[2]), f.members[2].Node().Configuration().Revision(), f.submitted)
 	}
 	f.HealDomain("domain-1")
-	if !f.RunUntil(15*time.Second, func() bool { return f.countAccepting() == 6 }) {
-		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAccepting())
+	if !f.RunUntil(15*time.Second, func() bool { return f.countAcceptingKey() == 6 }) {
+		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAcceptingKey())
 	}
-	slept := f.members[0]
-	slept.Suspend()
+	suspended := f.members[0]
+	suspended.Suspend()
 	f.Run(time.Hour)
-	woke := acceptsKeyOnResume(slept)
-	if woke {
+	accepted := acceptsKeyOnResume(suspended)
+	if accepted {
 		t.Error("a node that was suspended for 1 h accepted a key before it received a message")
 	}
 }
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -32,15 +32,20 @@
 	lease         *leaseComponent
 	assigned      *assignedSlots
 	slots         slotDirectory
-	meter         pressure.Meter
-	throttle      pressure.Throttle
-	callees       pressure.Callees
-	gates         pressure.Gates
-	claims        *claimsComponent
-	ledger        *ledgerComponent
-	entry         *entryComponent
-	upstream      *upstreamComponent
-	table         *tableComponent
+	// meter and throttle measure the demand on the local backend server and
+	// determine the fraction of it that entry nodes should refuse. callees
+	// estimates which child calls the requests of each class make. gates refuse
+	// requests on their entry node.
+	meter    pressure.Meter
+	throttle pressure.Throttle
+	callees  pressure.Callees
+	gates    pressure.Gates
+
+	claims   *claimsComponent
+	ledger   *ledgerComponent
+	entry    *entryComponent
+	upstream *upstreamComponent
+	table    *tableComponent
 }
 
 // New returns a node that has no configuration yet and knows no peer. All
@@ -109,7 +114,7 @@
 	case DrainRequested:
 		n.drain()
 	case TableResult:
-		n.table.operationAnswered(e)
+		n.table.resultReceived(e)
 	case ConfigurationRead:
 		n.configuration.adopt(e.Configuration)
 	case DomainsRead:
@@ -140,8 +145,8 @@
 }
 
 // tick runs the timers of all components. A node of a routed deployment has no
-// leases, no claims and no confirmations of changes, and leaves their
-// components out.
+// leases, no claims and no confirmations of changes, and skips their
+// components.
 func (n *Node) tick() {
 	n.membership.tick()
 	if n.options.Routed {
--- a/core/nodetest/start_test.go
+++ b/core/nodetest/start_test.go
@@ -13,22 +13,23 @@
 // startDomains are the failure domains of a fleet that starts.
 var startDomains = []coltsfootward.FailureDomain{"east", "north", "south", "west"}
 
-// startsPerDomain is how many nodes each of them has.
+// startsPerDomain is the number of nodes in each domain.
 const startsPerDomain = 12
 
-// documentStore stands for the part of the platform that holds the operators'
-// document: it serves each node as its duty says, and counts.
+// documentStore is a fake of the platform's storage of the configuration document. It
+// serves each node as the node's DocumentTask demands, and counts the calls.
 type documentStore struct {
 	document       coltsfootward.Configuration
 	reads, follows int
-	// away holds who is turned away; nil turns nobody away.
-	away func(m *nodetest.Member) bool
+	// unavailableTo selects the nodes whose calls fail; nil means that none do.
+	unavailableTo func(m *nodetest.Member) bool
 }
 
-// serve lets the nodes ask for what their duties say, once.
+// serve performs the current document task of each live node once. following holds the
+// latest revision that each following node has received.
 func (s *documentStore) serve(members []*nodetest.Member, following map[*nodetest.Member]coltsfootward.Revision) {
 	for _, m := range members {
-		if !m.Alive() || s.away != nil && s.away(m) {
+		if !m.Alive() || s.unavailableTo != nil && s.unavailableTo(m) {
 			continue
 		}
 		switch m.Node().DocumentTask() {
@@ -77,9 +78,9 @@
 	return without
 }
 
-// Guards against a fleet that restarts as a whole paying for several calls to the
-// platform a node.
-func TestRestartOfAFleetCallsThePlatformOnceANode(t *testing.T) {
+// Guards against several charged calls to the platform per node when a whole fleet
+// restarts.
+func TestFleetRestartLimitsPlatformCalls(t *testing.T) {
 	for seed := range uint64(3) {
 		r, members := newStart(seed)
 		r.Run(10 * time.Second)
@@ -97,15 +98,15 @@
 		}
 		calls := table.Reads - reads + table.Writes - writes + store.reads + store.follows
 		if calls > 2*len(members) {
-			t.Errorf("seed %d: %d calls for %d nodes (%d reads of contacts, %d writes, %d reads of the document, %d follow it), want at most two a node",
+			t.Errorf("seed %d: %d calls for %d nodes (%d reads of contacts, %d writes, %d reads of the document, %d follow the document), want at most two per node",
 				seed, calls, len(members), table.Reads-reads, table.Writes-writes, store.reads, store.follows)
 		}
 	}
 }
 
-// Guards against nodes that call a platform which is away ever again, and against
-// ones that wait long once it is back.
-func TestStartWhileThePlatformIsAway(t *testing.T) {
+// Guards against nodes that keep calling the platform for the document while it is
+// unavailable, and against nodes that wait long after it has returned.
+func TestStartWhilePlatformIsUnavailable(t *testing.T) {
 	const outage = 5 * time.Second
 	r, members := newStart(1)
 	r.Run(10 * time.Second)
@@ -113,19 +114,19 @@
 	following := make(map[*nodetest.Member]coltsfootward.Revision)
 	r.Table.Outage = true
 	restartAll(r, members)
-	back := r.Now() + outage
-	store.away = func(*nodetest.Member) bool { return r.Now() < back }
-	asked := 0
-	for r.Now() < back {
+	outageEnd := r.Now() + outage
+	store.unavailableTo = func(*nodetest.Member) bool { return r.Now() < outageEnd }
+	requests := 0
+	for r.Now() < outageEnd {
 		r.Run(100 * time.Millisecond)
 		for _, m := range members {
-			if duty := m.Node().DocumentTask(); duty == node.DocumentRead || duty == node.DocumentFollow {
-				asked++
+			if task := m.Node().DocumentTask(); task == node.DocumentRead || task == node.DocumentFollow {
+				requests++
 			}
 		}
 	}
-	if asked > 0 {
-		t.Errorf("nodes asked for the document %d times though the platform did not even tell the contacts", asked)
+	if requests > 0 {
+		t.Errorf("nodes requested the document %d times although the platform did not even return the contacts", requests)
 	}
 	r.Table.Outage = false
 	for range 40 {
@@ -133,13 +134,13 @@
 		store.serve(members, following)
 	}
 	if without := withoutDocument(members); without > 0 {
-		t.Errorf("%d of %d nodes have no document 4 s after the platform came back", without, len(members))
+		t.Errorf("%d of %d nodes have no document 4 s after the platform returned", without, len(members))
 	}
 }
 
-// Guards against a change that a whole failure domain misses, since the platform
-// turns away those of it who follow the document.
-func TestChangeReachesADomainWhoseReadersAreTurnedAway(t *testing.T) {
+// Guards against a whole failure domain missing a configuration change because the
+// platform is unavailable to the domain's nodes that follow the document.
+func TestChangeReachesDomainWithoutPlatformAccess(t *testing.T) {
 	r, members := newStart(2)
 	store := &documentStore{document: routedDocument(3, coltsfootward.Rate{PerSecond: 10, Burst: 10}, "quotes")}
 	following := make(map[*nodetest.Member]coltsfootward.Revision)
@@ -147,7 +148,7 @@
 		r.Run(100 * time.Millisecond)
 		store.serve(members, following)
 	}
-	store.away = func(m *nodetest.Member) bool { return m.Instance.Domain == "east" }
+	store.unavailableTo = func(m *nodetest.Member) bool { return m.Instance.Domain == "east" }
 	store.document = routedDocument(4, coltsfootward.Rate{PerSecond: 20, Burst: 20}, "quotes")
 	for range 20 {
 		r.Run(100 * time.Millisecond)
