--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -34,7 +34,7 @@
 
 // The decisions on a claim.
 const (
-	// Granted means that the request may be dispatched within Verdict.Life.
+	// Granted means that the request may be dispatched within Verdict.Lifetime.
 	Granted Decision = "granted"
 	// Running means that a request with the key is running or may be running.
 	Running Decision = "running"
@@ -56,7 +56,7 @@
 	Elsewhere Decision = "elsewhere"
 )
 
-// Answer is a complete response, kept for repeated requests with the same key.
+// Answer is a complete response, retained for repeated requests with the same key.
 type Answer struct {
 	Status int                 `msgpack:"status"`
 	Header map[string][]string `msgpack:"header"`
@@ -81,12 +81,13 @@
 // Verdict is the reply to a Request.
 type Verdict struct {
 	Decision Decision `msgpack:"decision"`
-	// Life is how long the request of a granted claim may be dispatched.
-	Life time.Duration `msgpack:"life"`
+	// Lifetime is the time within which the request of a granted claim may be
+	// dispatched.
+	Lifetime time.Duration `msgpack:"life"`
 	// RetryAfter is the delay after which a retry may succeed; zero means that no
 	// retry will.
 	RetryAfter time.Duration `msgpack:"retry_after"`
-	// Answer is the first request's response if it is still kept.
+	// Answer is the first request's response if it is still retained.
 	Answer *Answer `msgpack:"answer"`
 	// Execution states whether the first request ran, if it has ended.
 	Execution coltsfootward.Execution `msgpack:"execution"`
@@ -100,13 +101,13 @@
 	// ClockMargin is the largest difference between the wall clocks of callers and
 	// nodes at which a key's timestamp is evaluated correctly. The default is 5 s.
 	ClockMargin time.Duration
-	// Life is how long the request of a granted claim may be dispatched. It must be
-	// well below Window. The default is 30 s.
-	Life time.Duration
-	// MaximumClaims is the maximum number of retained claims. The default is 100 000.
+	// Lifetime is the time within which the request of a granted claim may be
+	// dispatched. It must be well below Window. The default is 30 s.
+	Lifetime time.Duration
+	// MaximumClaims is the maximum number of retained claims. The default is 100,000.
 	MaximumClaims int
-	// MaximumAnswerBytes is the maximum memory for kept responses, in bytes. The default
-	// is 16 MiB.
+	// MaximumAnswerBytes is the maximum memory for retained responses, in bytes. The
+	// default is 16 MiB.
 	MaximumAnswerBytes int
 }
 
@@ -114,14 +115,14 @@
 const (
 	DefaultWindow             = 10 * time.Minute
 	DefaultClockMargin        = 5 * time.Second
-	DefaultLife               = 30 * time.Second
+	DefaultLifetime           = 30 * time.Second
 	DefaultMaximumClaims      = 100_000
 	DefaultMaximumAnswerBytes = 16 << 20
 )
 
 // retention is how long a claim stays in memory. Its request may be dispatched
 // until the end of the claim's lifetime, and the window counts from then.
-func (o Options) retention() time.Duration { return o.Window + o.Life }
+func (o Options) retention() time.Duration { return o.Window + o.Lifetime }
 
 // WithDefaults returns the options with zero values replaced by the defaults.
 func (o Options) WithDefaults() Options {
@@ -131,8 +132,8 @@
 	if o.ClockMargin <= 0 {
 		o.ClockMargin = DefaultClockMargin
 	}
-	if o.Life <= 0 {
-		o.Life = min(DefaultLife, o.Window/4)
+	if o.Lifetime <= 0 {
+		o.Lifetime = min(DefaultLifetime, o.Window/4)
 	}
 	if o.MaximumClaims <= 0 {
 		o.MaximumClaims = DefaultMaximumClaims
--- a/core/claim/handover.go
+++ b/core/claim/handover.go
@@ -12,7 +12,7 @@
 type Handover struct {
 	// First is set if no node held the lease before this holder.
 	First bool `msgpack:"first"`
-	// Held is how long the holder's term has lasted at least.
+	// Held is a lower bound of the time since the holder's term began.
 	Held time.Duration `msgpack:"held"`
 	// BeganWall is the wall clock time at the beginning of the term.
 	BeganWall time.Time `msgpack:"began_wall"`
@@ -20,13 +20,13 @@
 	Claims []HandoverClaim `msgpack:"claims"`
 }
 
-// HandoverClaim is one retained claim in a Handover. The kept responses are not
+// HandoverClaim is one retained claim in a Handover. Retained responses are not
 // handed over.
 type HandoverClaim struct {
 	Key     Key    `msgpack:"key"`
 	ID      ID     `msgpack:"id"`
 	Content uint64 `msgpack:"content"`
-	// Age is the time since the claim was granted, at least.
+	// Age is a lower bound of the time since the claim was granted.
 	Age       time.Duration           `msgpack:"age"`
 	Ended     bool                    `msgpack:"ended"`
 	Execution coltsfootward.Execution `msgpack:"execution"`
@@ -49,9 +49,9 @@
 }
 
 // Restore restores the predecessor's state from a handover: the holder then has the
-// predecessor's claims, and its term counts from the predecessor's beginning.
-// Ages are as of the creation of the handover, so claims are retained for longer
-// if it is applied later.
+// predecessor's claims, and its term counts from the beginning of the predecessor's
+// term. The ages in the handover are as of its creation, so claims are retained for
+// longer if it is applied later.
 //
 // The handover must be that of the term directly before this one. Without it,
 // keys without a timestamp would be held off for a window after each planned
@@ -63,12 +63,12 @@
 		Expiry:    now.Expiry - handover.Held,
 		Wall:      handover.BeganWall,
 	}
-	for _, k := range handover.Claims {
-		if _, ok := h.claims[k.Key]; ok {
+	for _, c := range handover.Claims {
+		if _, ok := h.claims[c.Key]; ok {
 			continue
 		}
-		e := &entry{key: k.Key, id: k.ID, content: k.Content, granted: now.Monotonic - k.Age, ended: k.Ended, execution: k.Execution}
-		h.claims[k.Key] = e
+		e := &entry{key: c.Key, id: c.ID, content: c.Content, granted: now.Monotonic - c.Age, ended: c.Ended, execution: c.Execution}
+		h.claims[c.Key] = e
 		h.order = append(h.order, e)
 	}
 	slices.SortStableFunc(h.order, func(a, b *entry) int { return int(a.granted - b.granted) })
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -27,7 +27,7 @@
 	claims map[Key]*entry
 	// order contains the claims sorted by the time they were granted.
 	order []*entry
-	// answerBytes is the size of the kept responses in bytes.
+	// answerBytes is the size of the retained responses in bytes.
 	answerBytes int
 }
 
@@ -64,7 +64,7 @@
 func (h *Holder) Claim(now coltsfootward.Instant, r Request) Verdict {
 	h.expire(now)
 	if e, ok := h.claims[r.Key]; ok {
-		return h.decideRepeat(now, e, r)
+		return h.decideRetained(now, e, r)
 	}
 	if v, ok := h.rejectUnverifiable(now, r.Key); ok {
 		return v
@@ -79,23 +79,23 @@
 	e := &entry{key: r.Key, id: r.ID, content: r.Content, granted: now.Monotonic}
 	h.claims[r.Key] = e
 	h.order = append(h.order, e)
-	return Verdict{Decision: Granted, Life: h.options.Life}
+	return Verdict{Decision: Granted, Lifetime: h.options.Lifetime}
 }
 
-// runningRetryAfter is the retry delay for repeats of a running request: short
-// enough to fetch the response soon, long enough that waiting callers do not
-// cause significant load.
+// runningRetryAfter is the retry delay for repeated requests while the first request
+// is running: short enough that callers get the response soon, long enough that
+// waiting callers do not cause significant load.
 const runningRetryAfter = time.Second
 
-// decideRepeat decides on a request whose key has a retained claim.
-func (h *Holder) decideRepeat(now coltsfootward.Instant, e *entry, r Request) Verdict {
+// decideRetained decides on a request whose key has a retained claim.
+func (h *Holder) decideRetained(now coltsfootward.Instant, e *entry, r Request) Verdict {
 	switch {
 	case e.content != r.Content:
 		return Verdict{Decision: Reused}
 	case e.ended:
 		return Verdict{Decision: AlreadyRun, Answer: e.answer, Execution: e.execution}
-	case e.id == r.ID && now.Monotonic < e.granted+h.options.Life:
-		return Verdict{Decision: Granted, Life: e.granted + h.options.Life - now.Monotonic}
+	case e.id == r.ID && now.Monotonic < e.granted+h.options.Lifetime:
+		return Verdict{Decision: Granted, Lifetime: e.granted + h.options.Lifetime - now.Monotonic}
 	default:
 		return Verdict{Decision: Running, RetryAfter: runningRetryAfter}
 	}
@@ -107,10 +107,10 @@
 	created, ok := key.createdAt()
 	earliest, latest := h.wallBounds(now)
 	if ok {
-		// If such a key were granted now, a later holder would take it for a key
-		// created during its own term.
-		if ahead := created.Sub(earliest) - h.options.ClockMargin; ahead > 0 {
-			return Verdict{Decision: Early, RetryAfter: ahead}, true
+		// If a key with a timestamp in the future were granted now, a later holder
+		// would take it for a key created during its own term.
+		if lead := created.Sub(earliest) - h.options.ClockMargin; lead > 0 {
+			return Verdict{Decision: Early, RetryAfter: lead}, true
 		}
 		if latest.Sub(created) >= h.options.retention()-h.options.ClockMargin {
 			return Verdict{Decision: Forgotten}, true
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -81,7 +81,7 @@
 	// A claim request of a claimant that has ended may still be in flight. Its
 	// verdict is ignored.
 	if !w.ended[i] {
-		w.dispatchUntil[i] = w.now.Monotonic + v.Life
+		w.dispatchUntil[i] = w.now.Monotonic + v.Lifetime
 	}
 	return true
 }
@@ -195,7 +195,7 @@
 		want    claim.Decision
 	}{
 		{"fresh key", true, func(*claim.Holder) {}, first, 0, claim.Granted},
-		{"resent after the claim's lifetime", true, func(h *claim.Holder) { h.Claim(start, first) }, first, claim.DefaultLife, claim.Running},
+		{"resent after the claim's lifetime", true, func(h *claim.Holder) { h.Claim(start, first) }, first, claim.DefaultLifetime, claim.Running},
 		{"resent after a lost verdict", true, func(h *claim.Holder) { h.Claim(start, first) }, first, time.Second, claim.Granted},
 		{"repeat of a running request", true, func(h *claim.Holder) { h.Claim(start, first) }, repeat, time.Second, claim.Running},
 		{"key for another request", true, func(h *claim.Holder) { h.Claim(start, first) }, other, time.Second, claim.Reused},
@@ -223,12 +223,12 @@
 			before.Claim(start, first)
 			h.Restore(start, before.Handover(start))
 		}, repeat, time.Second, claim.Running},
-		{"key without timestamp after a takeover", false, func(*claim.Holder) {}, first, window + claim.DefaultLife - 1, claim.HeldOff},
-		{"key without timestamp a window later", false, func(*claim.Holder) {}, first, window + claim.DefaultLife, claim.Granted},
+		{"key without timestamp after a takeover", false, func(*claim.Holder) {}, first, window + claim.DefaultLifetime - 1, claim.HeldOff},
+		{"key without timestamp a window later", false, func(*claim.Holder) {}, first, window + claim.DefaultLifetime, claim.Granted},
 		{"key created before the term", false, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall)}}, time.Minute, claim.Forgotten},
 		{"key created within the term", false, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall.Add(time.Minute))}}, time.Minute, claim.Granted},
 		{"key created within the term that names a domain", false, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: "north:" + timedKey(start.Wall.Add(time.Minute))}}, time.Minute, claim.Granted},
-		{"key older than the window", true, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall)}}, window + claim.DefaultLife, claim.Forgotten},
+		{"key older than the window", true, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall)}}, window + claim.DefaultLifetime, claim.Forgotten},
 	} {
 		h := claim.NewHolder(claim.Options{}, start)
 		if test.first {
@@ -258,7 +258,7 @@
 	if got := h.Claim(start.Add(time.Minute), claim.Request{Key: request(0).Key, ID: "other"}); got.Decision != claim.Running {
 		t.Errorf("repeat of the first key: got %s, want %s", got.Decision, claim.Running)
 	}
-	if got := h.Claim(start.Add(window+claim.DefaultLife+time.Second), request(2000)); got.Decision != claim.Granted || h.Len() != 1 {
+	if got := h.Claim(start.Add(window+claim.DefaultLifetime+time.Second), request(2000)); got.Decision != claim.Granted || h.Len() != 1 {
 		t.Errorf("after the window: got %s with %d claims, want %s with 1", got.Decision, h.Len(), claim.Granted)
 	}
 }
--- a/core/lease/search_test.go
+++ b/core/lease/search_test.go
@@ -106,10 +106,10 @@
 func (a *actor) answer(row coltsfootward.Row, err error) {
 	_, read := a.op.action.(lease.Read)
 	if read {
-		a.begin(a.slot.ReadAnswered(a.now, row, err))
+		a.begin(a.slot.ReadCompleted(a.now, row, err))
 		return
 	}
-	a.begin(a.slot.WriteAnswered(a.now, err))
+	a.begin(a.slot.WriteCompleted(a.now, err))
 }
 
 // event is one possible next event; run returns false if it cannot occur in the
--- a/core/lease/slot.go
+++ b/core/lease/slot.go
@@ -40,8 +40,8 @@
 	renewalsPerTerm = 3
 	// retriesPerTerm is the number of retries of a failed operation within one term.
 	retriesPerTerm = 10
-	// maximumSentWrites is the number of own writes that can be recognised in the
-	// record. The terms begun by older writes are over.
+	// maximumSentWrites is the number of this node's writes that can be recognised in
+	// the record. The terms that began with older writes have ended.
 	maximumSentWrites = 2 * retriesPerTerm
 )
 
@@ -58,11 +58,11 @@
 // Action is an operation on the slot's row.
 type Action interface{ isAction() }
 
-// Read reads the slot's row. Its result goes to Slot.ReadAnswered.
+// Read reads the slot's row. Its result goes to Slot.ReadCompleted.
 type Read struct{}
 
 // Write sets the slot's row if the row still has the given version. Its result
-// goes to Slot.WriteAnswered.
+// goes to Slot.WriteCompleted.
 type Write struct {
 	Version uint64
 	Record  Record
@@ -149,12 +149,12 @@
 // other node has held the slot since.
 func (s *Slot) Began() coltsfootward.Instant { return s.began }
 
-// IsHolderOfRecord reports whether the record, as last read, names this node's incarnation as
-// the holder, even if the term has ended.
+// IsHolderOfRecord reports whether the record, as last read, names this node's
+// incarnation as the holder, even if the term has ended.
 func (s *Slot) IsHolderOfRecord() bool { return s.holderOfRecord }
 
-// Releasing reports whether the node is releasing the slot. It never holds the
-// slot again in this epoch.
+// Releasing reports whether the node is releasing the slot. A node that releases a
+// slot never holds it again in the same epoch.
 func (s *Slot) Releasing() bool { return s.holderOfRecord && s.releasing }
 
 // Holder returns the holder named by the record as last read, or false if there is
@@ -163,8 +163,8 @@
 	return s.record.Holder, s.recordRead && s.version != 0 && !s.record.Released
 }
 
-// UnusedBefore reports whether nothing can have been granted for the slot before the
-// node's present epoch.
+// UnusedBefore reports whether nothing can have been granted for the slot before
+// the node's present epoch.
 func (s *Slot) UnusedBefore() bool { return s.unusedBefore }
 
 // Release starts releasing the slot. The node stops holding it at once. unused
@@ -181,8 +181,8 @@
 // RequestRead makes the record due for reading at the next Tick.
 func (s *Slot) RequestRead() { s.nextRead = 0 }
 
-// Tick returns the action that is due: a read of the record, which a renewal also
-// starts with. It returns nil if none is due.
+// Tick returns the action that is due, or nil if none is. The action is always a
+// Read, since a renewal starts by reading the record.
 func (s *Slot) Tick(now coltsfootward.Instant, candidacy Candidacy) Action {
 	s.candidacy = candidacy
 	if s.inFlight || now.Monotonic < s.nextRead || (!s.holderOfRecord && !candidacy.Eligible) {
@@ -196,8 +196,8 @@
 	return Read{}
 }
 
-// ReadAnswered processes the result of a Read and returns the next action, or nil.
-func (s *Slot) ReadAnswered(now coltsfootward.Instant, row coltsfootward.Row, err error) Action {
+// ReadCompleted processes the result of a Read and returns the next action, or nil.
+func (s *Slot) ReadCompleted(now coltsfootward.Instant, row coltsfootward.Row, err error) Action {
 	s.inFlight = false
 	if err != nil {
 		s.scheduleRetry(now)
@@ -215,8 +215,8 @@
 	return s.claim(now)
 }
 
-// observe records a row that was read and determines whether own writes took
-// effect.
+// observe records a row that was read and determines whether this node's writes
+// took effect.
 func (s *Slot) observe(now coltsfootward.Instant, row coltsfootward.Row, record Record) {
 	if !s.recordRead || row.Version != s.version {
 		s.versionSeenAt = now.Monotonic
@@ -296,9 +296,9 @@
 	return Write{Version: s.version, Record: record}
 }
 
-// WriteAnswered processes the result of a Write and returns the next action, or
+// WriteCompleted processes the result of a Write and returns the next action, or
 // nil.
-func (s *Slot) WriteAnswered(now coltsfootward.Instant, err error) Action {
+func (s *Slot) WriteCompleted(now coltsfootward.Instant, err error) Action {
 	s.inFlight = false
 	if errors.Is(err, coltsfootward.ErrConflict) {
 		return s.read()
--- a/core/node/bucket.go
+++ b/core/node/bucket.go
@@ -40,7 +40,7 @@
 	g := p.bucket(m.Organisation, m.Slot, term).Draw(p.node.now, m.Need, m.Prefetch)
 	return message.Grant{
 		ID: m.ID, IsHolder: true,
-		Tokens: g.Tokens, Lifetime: g.Lifetime, RetryAfter: g.RetryAfter, Remaining: g.Level,
+		Tokens: g.Tokens, Lifetime: g.Lifetime, RetryAfter: g.RetryAfter, Remaining: g.Remaining,
 	}
 }
 
--- a/core/node/claims.go
+++ b/core/node/claims.go
@@ -187,7 +187,7 @@
 		return
 	}
 	c.granted = true
-	c.expires = p.node.now.Expiry + m.Verdict.Life - age
+	c.expires = p.node.now.Expiry + m.Verdict.Lifetime - age
 	p.node.entry.claimGranted(c.call)
 }
 
--- a/core/node/lease.go
+++ b/core/node/lease.go
@@ -251,7 +251,7 @@
 	switch a := action.(type) {
 	case lease.Read:
 		p.node.table.read(key, func(row coltsfootward.Row, err error) {
-			p.execute(index, slot.ReadAnswered(p.node.now, row, err))
+			p.execute(index, slot.ReadCompleted(p.node.now, row, err))
 		})
 	case lease.Write:
 		t := coltsfootward.Transaction{
@@ -260,7 +260,7 @@
 		}
 		p.node.table.transact(t, func(err error) {
 			releasing := slot.Releasing()
-			p.execute(index, slot.WriteAnswered(p.node.now, err))
+			p.execute(index, slot.WriteCompleted(p.node.now, err))
 			if releasing && !slot.IsHolderOfRecord() {
 				p.offerSlot(slotID{domain: p.node.options.Self.Domain, index: index})
 			}
--- a/core/rate/benchmark_test.go
+++ b/core/rate/benchmark_test.go
@@ -18,12 +18,12 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	var purse rate.TokenCache
+	var cache rate.TokenCache
 	now := coltsfootward.At(0)
 	for b.Loop() {
 		now = now.Add(time.Microsecond)
-		if _, ok := purse.Take(now, 0); !ok {
-			purse.Add(rate.Batch{Tokens: 50, Expires: now.Expiry + time.Second})
+		if _, ok := cache.Take(now, 0); !ok {
+			cache.Add(rate.Batch{Tokens: 50, Expires: now.Expiry + time.Second})
 		}
 	}
 }
--- a/core/rate/bucket.go
+++ b/core/rate/bucket.go
@@ -25,8 +25,8 @@
 	// remainder is the fraction that the last refill rounded off, in units of
 	// Token times nanoseconds.
 	remainder uint64
-	// backlog is the number of tokens for which nodes were told to retry, in
-	// units of Token.
+	// backlog is the number of tokens that nodes needed but did not get, and will
+	// draw again after their retry delays, in units of Token.
 	backlog int64
 	// lastRefill is the time of the last refill, by Instant.Monotonic.
 	lastRefill time.Duration
@@ -53,14 +53,14 @@
 type Grant struct {
 	// Tokens is the number of whole tokens drawn.
 	Tokens int64
-	// Lifetime is the lifetime of the drawn tokens, counted from before the draw was
-	// sent.
+	// Lifetime is the lifetime of the drawn tokens, counted from before the draw
+	// was sent.
 	Lifetime time.Duration
-	// RetryAfter is the delay before the next draw if fewer tokens were drawn than
-	// needed.
+	// RetryAfter is the delay before the next draw if fewer tokens were drawn
+	// than needed.
 	RetryAfter time.Duration
-	// Level is the number of whole tokens left in the bucket.
-	Level int64
+	// Remaining is the number of whole tokens left in the bucket.
+	Remaining int64
 }
 
 // SetPart sets the bucket's parameters to those of another part. Tokens in the
@@ -72,7 +72,7 @@
 }
 
 // Draw takes up to need tokens. If it gets all of them, it takes up to prefetch
-// more, bounded by a quarter of the tokens then left.
+// more, but at most a quarter of the tokens left by then.
 func (b *Bucket) Draw(now coltsfootward.Instant, need, prefetch int64) Grant {
 	b.refill(now)
 	available := b.level / Token
@@ -81,19 +81,19 @@
 		tokens += min(max(prefetch, 0), (available-tokens)/prefetchDivisor)
 	}
 	b.level -= tokens * Token
-	grant := Grant{Tokens: tokens, Lifetime: b.parameters.Lifetime, Level: b.level / Token}
+	grant := Grant{Tokens: tokens, Lifetime: b.parameters.Lifetime, Remaining: b.level / Token}
 	if tokens < need {
 		grant.RetryAfter = b.retryDelay(need - tokens)
 	}
 	return grant
 }
 
-// retryDelay returns when a node whose draw was missing tokens short should draw
-// again.
+// retryDelay returns the delay after which a node should draw again if its draw got
+// fewer tokens than it needed. missing is the number of tokens that it did not get.
 //
-// At several times the rate, every entry node would otherwise draw for each new
-// token, and the holder would be overloaded with draws that get none. Each
-// unsatisfied draw is therefore queued behind the earlier ones, so that the
+// When the demand is several times the rate, every entry node would otherwise draw
+// for each new token, and the holder would be overloaded with draws that get none.
+// Each unsatisfied draw is therefore queued behind the earlier ones, so that the
 // draws of all nodes together arrive about as fast as the tokens.
 func (b *Bucket) retryDelay(missing int64) time.Duration {
 	if b.parameters.Refill <= 0 {
--- a/core/rate/divide.go
+++ b/core/rate/divide.go
@@ -46,10 +46,10 @@
 	// lateSpendDivisor sets the lifetime of tokens between the two bounds: a part's
 	// burst divided by it may be spent late.
 	lateSpendDivisor = 4
-	// negligibleLateDivisor sets the amount of late spending, one token divided
-	// by it, up to which the refill rate is reduced instead of the depth. With a
-	// burst of 2, reducing the depth would cost a whole token for a thousandth
-	// of a token spent late.
+	// negligibleLateDivisor is the divisor for late spending that is negligible:
+	// up to one token divided by it, the refill rate is reduced instead of the
+	// depth. With a burst of 2, reducing the depth would cost a whole token for a
+	// thousandth of a token spent late.
 	negligibleLateDivisor = 50
 )
 
@@ -60,13 +60,13 @@
 	Slot   int
 	// Rate is the part's rate in units of Token per second.
 	Rate int64
-	// Burst is the part's burst in whole tokens. The bound is exact only for
-	// whole tokens if the part's late spending is below one token.
+	// Burst is the part's burst in tokens. It is a whole number: otherwise the
+	// bound would not be exact for parts whose late spending is below one token.
 	Burst int64
 }
 
-// BucketParameters are the parameters with which a bucket keeps its part's rate
-// and burst although tokens may be spent up to Life after they were drawn.
+// BucketParameters are the parameters with which a bucket enforces its part's rate
+// and burst although tokens may be spent up to Lifetime after they were drawn.
 type BucketParameters struct {
 	// Lifetime is the lifetime of a token, counted from before it was drawn.
 	Lifetime time.Duration
@@ -78,21 +78,21 @@
 
 // BucketParameters returns the parameters of the part's bucket.
 //
-// Requests that start within a window w spend tokens drawn within w + Life, so a
-// bucket with the part's full burst b and rate r would let b + r·w + r·Life
+// Requests that start within a window w spend tokens drawn within w + Lifetime, so
+// a bucket with the part's full burst b and rate r would let b + r·w + r·Lifetime
 // requests start. With the depth reduced to b − c, the bucket must refill k + c
 // tokens before b + k tokens can have been drawn. The requests that spend them
-// start within no less than (k + c)/Refill − Life, which must be at least k/r
-// for every whole k ≥ 1. This holds for Refill = r if c ≥ r·Life, and otherwise
-// for Refill = r·(1 + c)/(1 + r·Life).
+// start within no less than (k + c)/Refill − Lifetime, which must be at least k/r
+// for every whole k ≥ 1. This holds for Refill = r if c ≥ r·Lifetime, and otherwise
+// for Refill = r·(1 + c)/(1 + r·Lifetime).
 func (p Part) BucketParameters() BucketParameters {
 	if p.Burst < 1 || p.Rate < 0 {
 		return BucketParameters{}
 	}
 	burst := p.Burst * Token
 	spare := burst - Token
-	life := p.lifetime(spare)
-	lateTokens := mulDiv(p.Rate, int64(life), int64(time.Second)) + 1
+	lifetime := p.lifetime(spare)
+	lateTokens := mulDiv(p.Rate, int64(lifetime), int64(time.Second)) + 1
 	depthReduction := min(lateTokens, spare)
 	if lateTokens <= Token/negligibleLateDivisor {
 		depthReduction = 0
@@ -101,17 +101,17 @@
 	if depthReduction < lateTokens {
 		refill = mulDiv(p.Rate, Token+depthReduction, Token+lateTokens)
 	}
-	return BucketParameters{Lifetime: life, Depth: burst - depthReduction, Refill: refill}
+	return BucketParameters{Lifetime: lifetime, Depth: burst - depthReduction, Refill: refill}
 }
 
-// lifetime returns the lifetime of the part's tokens. spare is the burst without one
+// lifetime returns the lifetime of the part's tokens. spare is the burst less one
 // token, in units of Token.
 func (p Part) lifetime(spare int64) time.Duration {
 	if p.Rate == 0 {
 		return MaximumLifetime
 	}
-	life := time.Duration(mulDiv(spare, int64(time.Second), p.Rate*lateSpendDivisor))
-	return min(max(life, MinimumLifetime), MaximumLifetime)
+	lifetime := time.Duration(mulDiv(spare, int64(time.Second), p.Rate*lateSpendDivisor))
+	return min(max(lifetime, MinimumLifetime), MaximumLifetime)
 }
 
 // Division is the list of parts of an organisation's rate and burst, in a fixed
@@ -121,8 +121,7 @@
 // Divide returns the parts of an organisation's rate limit. The result depends
 // only on the arguments, so that every node computes the same parts, and the
 // parts add up to the limit exactly. A small burst results in fewer parts than
-// failure domains, a large rate in several parts per domain,
-// at most one per slot.
+// failure domains, a large rate in several parts per domain, at most one per slot.
 func Divide(organisation coltsfootward.OrganisationName, limit coltsfootward.Rate, domains []coltsfootward.FailureDomain, slots int) Division {
 	if limit.Burst < 1 || len(domains) == 0 || slots < 1 {
 		return nil
--- a/core/rate/divide_test.go
+++ b/core/rate/divide_test.go
@@ -138,8 +138,8 @@
 func TestDivisionChangeKeepsLimit(t *testing.T) {
 	domains := domainNames(4)
 	rapid.Check(t, func(t *rapid.T) {
-		const spread = 13 * time.Second
-		var shares [4]rate.DivisionTracker
+		const propagationTime = 13 * time.Second
+		var trackers [4]rate.DivisionTracker
 		limits := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) coltsfootward.Rate {
 			return coltsfootward.Rate{PerSecond: rapid.Float64Range(1, 100).Draw(t, "rate"), Burst: rapid.Int64Range(1, 40).Draw(t, "burst")}
 		}), 2, 5).Draw(t, "changes")
@@ -148,30 +148,30 @@
 		at := 0
 		for i := range limits {
 			at += rapid.IntRange(0, 20).Draw(t, "gap")
-			for holder := range shares {
-				delay := rapid.IntRange(0, int(spread/time.Second)-1).Draw(t, "delay")
+			for holder := range trackers {
+				delay := rapid.IntRange(0, int(propagationTime/time.Second)-1).Draw(t, "delay")
 				arrivals = append(arrivals, arrival{at: at + delay, index: i, holder: holder})
 			}
 		}
 		applied := [4]int{-1, -1, -1, -1}
 		for second := range at + 60 {
 			now := coltsfootward.At(time.Duration(second) * time.Second)
-			for _, n := range arrivals {
-				for n.at == second && n.index > applied[n.holder] {
-					applied[n.holder]++
-					shares[n.holder].Change(now, rate.Divide("traders", limits[applied[n.holder]], domains, 1), spread+rate.MaximumLifetime)
+			for _, a := range arrivals {
+				for a.at == second && a.index > applied[a.holder] {
+					applied[a.holder]++
+					trackers[a.holder].Change(now, rate.Divide("traders", limits[applied[a.holder]], domains, 1), propagationTime+rate.MaximumLifetime)
 				}
 			}
 			var rates, bursts int64
-			for i := range shares {
-				p := shares[i].Part(now, domains[i], 0)
+			for i := range trackers {
+				p := trackers[i].Part(now, domains[i], 0)
 				rates += p.Rate
 				bursts += p.Burst
 			}
 			var mostRate, mostBurst int64
-			for _, w := range limits {
-				mostRate = max(mostRate, int64(w.PerSecond*rate.Token))
-				mostBurst = max(mostBurst, w.Burst)
+			for _, limit := range limits {
+				mostRate = max(mostRate, int64(limit.PerSecond*rate.Token))
+				mostBurst = max(mostBurst, limit.Burst)
 			}
 			if rates > mostRate || bursts > mostBurst {
 				t.Fatalf("at %d s got rate %d, burst %d; want at most %d, %d", second, rates, bursts, mostRate, mostBurst)
--- a/core/rate/purse.go
+++ b/core/rate/purse.go
@@ -15,37 +15,37 @@
 	Expires time.Duration
 }
 
-// TokenCache caches the tokens that an entry node has drawn for an organisation. The
-// zero value is empty. It is not safe for concurrent use.
+// TokenCache caches the tokens that an entry node has drawn for an organisation.
+// The zero value is empty. It is not safe for concurrent use.
 type TokenCache struct {
 	// batches are sorted by expiry.
 	batches []Batch
 }
 
 // Add adds drawn tokens.
-func (p *TokenCache) Add(c Batch) {
-	if c.Tokens <= 0 {
+func (c *TokenCache) Add(batch Batch) {
+	if batch.Tokens <= 0 {
 		return
 	}
-	index, _ := slices.BinarySearchFunc(p.batches, c.Expires, func(held Batch, expires time.Duration) int {
+	index, _ := slices.BinarySearchFunc(c.batches, batch.Expires, func(held Batch, expires time.Duration) int {
 		return int(min(max(held.Expires-expires, -1), 1))
 	})
-	p.batches = slices.Insert(p.batches, index, c)
+	c.batches = slices.Insert(c.batches, index, batch)
 }
 
 // Take removes the token that expires first and returns it as a batch of one. It
 // skips tokens that expire within margin, since they could not be spent in time.
-func (p *TokenCache) Take(now coltsfootward.Instant, margin time.Duration) (Batch, bool) {
-	p.expire(now)
-	for i := range p.batches {
-		if p.batches[i].Expires <= now.Expiry+margin {
+func (c *TokenCache) Take(now coltsfootward.Instant, margin time.Duration) (Batch, bool) {
+	c.expire(now)
+	for i := range c.batches {
+		if c.batches[i].Expires <= now.Expiry+margin {
 			continue
 		}
-		token := p.batches[i]
+		token := c.batches[i]
 		token.Tokens = 1
-		p.batches[i].Tokens--
-		if p.batches[i].Tokens == 0 {
-			p.batches = slices.Delete(p.batches, i, i+1)
+		c.batches[i].Tokens--
+		if c.batches[i].Tokens == 0 {
+			c.batches = slices.Delete(c.batches, i, i+1)
 		}
 		return token, true
 	}
@@ -53,17 +53,17 @@
 }
 
 // Tokens returns the number of tokens that have not expired at now.
-func (p *TokenCache) Tokens(now coltsfootward.Instant) int64 {
-	p.expire(now)
+func (c *TokenCache) Tokens(now coltsfootward.Instant) int64 {
+	c.expire(now)
 	var sum int64
-	for _, c := range p.batches {
-		sum += c.Tokens
+	for _, batch := range c.batches {
+		sum += batch.Tokens
 	}
 	return sum
 }
 
-func (p *TokenCache) expire(now coltsfootward.Instant) {
-	p.batches = slices.DeleteFunc(p.batches, func(c Batch) bool { return c.Expires <= now.Expiry })
+func (c *TokenCache) expire(now coltsfootward.Instant) {
+	c.batches = slices.DeleteFunc(c.batches, func(batch Batch) bool { return batch.Expires <= now.Expiry })
 }
 
 // demandWindow is the time constant with which the demand estimate decays.
