--- a/core/admission/cold.go
+++ b/core/admission/cold.go
@@ -19,9 +19,9 @@
 // window of one second than the server can handle, and evenly spaced.
 //
 // Without the limit, a server that has just started would receive its share of the
-// full demand, crash under it, and come back cold to the same demand. Starts are
+// full demand, crash under it, and restart cold under the same demand. Starts are
 // counted while the server is warm as well, because it may become cold at any moment,
-// and the requests that it has just received count then.
+// and the starts of the last second then count towards the limit.
 //
 // The zero value limits nothing. ColdStart is not safe for concurrent use.
 type ColdStart struct {
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -113,8 +113,8 @@
 // refused, four in ten requests that make ten calls fail, with all their work lost.
 func (c *Controller) LetDeepWait() { c.deepWaits = true }
 
-// SetCold sets whether the server is cold and gets few requests, and how many
-// requests may wait then.
+// SetCold sets whether the server is cold and therefore gets few requests, and how many
+// requests may wait while it is cold.
 func (c *Controller) SetCold(cold bool, queueLimit int) { c.cold, c.coldQueueLimit = cold, queueLimit }
 
 // SetSlots sets the number of slots that the server announces.
@@ -146,8 +146,8 @@
 // ChildRefused records that a child call of a request in service was refused for lack
 // of capacity.
 func (c *Controller) ChildRefused(id RequestID) {
-	if s, ok := c.running[id]; ok {
-		c.shedder.ChildShed(s.request)
+	if r, ok := c.running[id]; ok {
+		c.shedder.ChildShed(r.request)
 	}
 }
 
@@ -197,7 +197,7 @@
 }
 
 // assignRank sets the shed rank of a deep request if deepWaits is set. It reports
-// whether the request goes ahead of all others in its lane.
+// whether the request is placed before all others in its lane.
 func (c *Controller) assignRank(r *Request) bool {
 	if !c.deepWaits || !r.Deep {
 		return false
@@ -208,9 +208,8 @@
 	return first
 }
 
-// predictWait predicts how long a request would wait for the requests that leave
-// before it. These include the requests in its own lane, unless it goes ahead of
-// them.
+// predictWait predicts how long a request would wait for the requests that leave the
+// queue before it. These include the requests in its own lane, unless first is set.
 func (c *Controller) predictWait(r Request, first bool) time.Duration {
 	if len(c.running) < c.Limit() && c.queue.Len() == 0 {
 		return 0
@@ -246,14 +245,15 @@
 // Unsent removes a request that Next returned but that was not started.
 func (c *Controller) Unsent(id RequestID) { delete(c.running, id) }
 
-// Done records the end of a request's service. aborted is set if it was ended early.
+// Done records the end of a request's service. aborted is set if the service was ended
+// early.
 func (c *Controller) Done(now time.Duration, id RequestID, aborted bool) {
-	s, ok := c.running[id]
+	r, ok := c.running[id]
 	if !ok {
 		return
 	}
 	delete(c.running, id)
-	c.limiter.Observe(Sample{Class: s.request.Class, Began: s.began, Ended: now, Running: s.concurrency, Aborted: aborted})
+	c.limiter.Observe(Sample{Class: r.request.Class, Began: r.began, Ended: now, Running: r.concurrency, Aborted: aborted})
 }
 
 // Withdraw removes a waiting request whose caller has cancelled it. It reports
--- a/core/admission/knee.go
+++ b/core/admission/knee.go
@@ -9,8 +9,8 @@
 	// kneeMinSlots is the minimum number of slots for a lower limit. With fewer
 	// slots, keeping one of them free costs more than a knee does.
 	kneeMinSlots = 8
-	// kneeSamples is the number of completed requests in a phase. The mean of that
-	// many varies by about a twentieth.
+	// kneeSamples is the number of completed requests in a phase. The mean service
+	// time of so many requests varies by about a twentieth.
 	kneeSamples = 128
 	// nearLimitFraction is the fraction of the lower limit that must have been in
 	// service for a completed request to count as a sample of a nearly saturated
@@ -128,36 +128,36 @@
 	if k.classes == nil {
 		k.classes = make(map[string]*kneeStats)
 	}
-	t, ok := k.classes[s.Class]
+	stats, ok := k.classes[s.Class]
 	if !ok {
 		if len(k.classes) >= maximumClasses {
 			return
 		}
-		t = &kneeStats{}
-		k.classes[s.Class] = t
+		stats = &kneeStats{}
+		k.classes[s.Class] = stats
 	}
 	k.samples++
 	took := (s.Ended - s.Began).Seconds()
 	if k.phase == kneeFull {
-		t.fullCount++
-		t.fullSum += took
+		stats.fullCount++
+		stats.fullSum += took
 		return
 	}
-	t.lowerCount++
-	t.lowerSum += took
+	stats.lowerCount++
+	stats.lowerSum += took
 }
 
-// decide compares the two phases class by class. Half of the weight of the samples is
-// kept for the next search.
+// decide compares the two phases class by class. The samples count half in the next
+// search.
 func (k *knee) decide(slots int) {
 	weights, slowdown := 0.0, 0.0
-	for _, t := range k.classes {
-		if weight := min(t.lowerCount, t.fullCount); weight > 0 && t.lowerSum > 0 {
+	for _, stats := range k.classes {
+		if weight := min(stats.lowerCount, stats.fullCount); weight > 0 && stats.lowerSum > 0 {
 			weights += weight
-			slowdown += weight * (t.fullSum / t.fullCount) / (t.lowerSum / t.lowerCount)
+			slowdown += weight * (stats.fullSum / stats.fullCount) / (stats.lowerSum / stats.lowerCount)
 		}
-		t.lowerCount, t.lowerSum = t.lowerCount/2, t.lowerSum/2
-		t.fullCount, t.fullSum = t.fullCount/2, t.fullSum/2
+		stats.lowerCount, stats.lowerSum = stats.lowerCount/2, stats.lowerSum/2
+		stats.fullCount, stats.fullSum = stats.fullCount/2, stats.fullSum/2
 	}
 	capacityRatio := float64(slots) / float64(lowerLimit(slots))
 	k.useAll = weights > 0 && slowdown/weights < capacityRatio
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -39,15 +39,15 @@
 	cost float64
 }
 
-// priorityCount is the number of priority ranks: four priorities with four second
+// priorityCount is the number of priority ranks: four priorities with four secondary
 // priorities each.
 const priorityCount = 16
 
 // Queue holds waiting requests. Requests of higher priority leave first. Within a
 // priority, deep requests leave before root requests, because slots at other services
-// are held for them. Within these, the organisations are served in proportion to
-// their weights, measured in slot time. The zero value is ready for use. Queue is not
-// safe for concurrent use.
+// are held for them. Among requests of the same priority and depth, the organisations
+// are served in proportion to their weights, measured in slot time. The zero value is
+// ready for use. Queue is not safe for concurrent use.
 type Queue struct {
 	lanes [2 * priorityCount]lane
 	size  int
@@ -62,8 +62,8 @@
 type lane struct {
 	flows       []*flow
 	virtualTime float64
-	// idle holds the virtual times of organisations without waiting requests, as they
-	// may be ahead of the lane's virtual time.
+	// idle holds the virtual times of organisations without waiting requests, because
+	// these times may be later than the lane's virtual time.
 	idle map[coltsfootward.OrganisationName]float64
 }
 
@@ -82,10 +82,10 @@
 // Push adds a request.
 func (q *Queue) Push(r Request) {
 	l := &q.lanes[laneOf(r)]
-	t := l.flowOf(r)
-	i, _ := slices.BinarySearchFunc(t.waiting, r, compareRank)
-	t.waiting = slices.Insert(t.waiting, i, r)
-	t.cost += r.slotTime()
+	f := l.flowOf(r)
+	i, _ := slices.BinarySearchFunc(f.waiting, r, compareRank)
+	f.waiting = slices.Insert(f.waiting, i, r)
+	f.cost += r.slotTime()
 	q.size++
 }
 
@@ -113,18 +113,18 @@
 const minimumCost = 0.001
 
 func (l *lane) flowOf(r Request) *flow {
-	for _, t := range l.flows {
-		if t.organisation == r.Organisation {
-			return t
+	for _, f := range l.flows {
+		if f.organisation == r.Organisation {
+			return f
 		}
 	}
-	t := &flow{organisation: r.Organisation, weight: r.Weight, virtualTime: max(l.virtualTime, l.idle[r.Organisation])}
+	f := &flow{organisation: r.Organisation, weight: r.Weight, virtualTime: max(l.virtualTime, l.idle[r.Organisation])}
 	delete(l.idle, r.Organisation)
-	if t.weight <= 0 {
-		t.weight = 1
+	if f.weight <= 0 {
+		f.weight = 1
 	}
-	l.flows = append(l.flows, t)
-	return t
+	l.flows = append(l.flows, f)
+	return f
 }
 
 // Pop removes and returns the request to serve next.
@@ -150,12 +150,12 @@
 	return r
 }
 
-func (q *Queue) remove(l *lane, t *flow, i int) {
-	t.cost -= t.waiting[i].slotTime()
-	t.waiting = slices.Delete(t.waiting, i, i+1)
+func (q *Queue) remove(l *lane, f *flow, i int) {
+	f.cost -= f.waiting[i].slotTime()
+	f.waiting = slices.Delete(f.waiting, i, i+1)
 	q.size--
-	if len(t.waiting) == 0 {
-		l.removeFlow(t)
+	if len(f.waiting) == 0 {
+		l.removeFlow(f)
 	}
 }
 
@@ -163,8 +163,8 @@
 // its virtual time. Otherwise an organisation that sends its requests one by one
 // would restart at the lane's virtual time with each of them. An empty lane has no
 // contention, so all flows start alike.
-func (l *lane) removeFlow(t *flow) {
-	l.flows = slices.DeleteFunc(l.flows, func(other *flow) bool { return other == t })
+func (l *lane) removeFlow(f *flow) {
+	l.flows = slices.DeleteFunc(l.flows, func(other *flow) bool { return other == f })
 	if len(l.flows) == 0 {
 		l.virtualTime = 0
 		clear(l.idle)
@@ -173,13 +173,13 @@
 	if l.idle == nil {
 		l.idle = make(map[coltsfootward.OrganisationName]float64)
 	}
-	l.idle[t.organisation] = t.virtualTime
+	l.idle[f.organisation] = f.virtualTime
 }
 
-// Evict removes and returns the least important request: of the lowest waiting
-// priority, with root requests before deep requests, there of the organisation with
-// the most waiting work for its weight, and of its requests the one with the highest
-// shed rank.
+// Evict removes and returns the least important request. It takes the lowest priority
+// that has waiting requests, and there root requests before deep requests. Of these it
+// takes the organisation with the most waiting slot time relative to its weight, and of
+// this organisation's requests the one with the highest shed rank.
 func (q *Queue) Evict() (Request, bool) {
 	for i := len(q.lanes) - 1; i >= 0; i-- {
 		l := &q.lanes[i]
@@ -209,22 +209,22 @@
 	var removed []Request
 	for i := range q.lanes {
 		l := &q.lanes[i]
-		for _, t := range slices.Clone(l.flows) {
-			removed = append(removed, q.removeFrom(l, t, drop)...)
+		for _, f := range slices.Clone(l.flows) {
+			removed = append(removed, q.removeFrom(l, f, drop)...)
 		}
 	}
 	return removed
 }
 
-func (q *Queue) removeFrom(l *lane, t *flow, drop func(Request) bool) []Request {
+func (q *Queue) removeFrom(l *lane, f *flow, drop func(Request) bool) []Request {
 	var removed []Request
-	for i := 0; i < len(t.waiting); {
-		if !drop(t.waiting[i]) {
+	for i := 0; i < len(f.waiting); {
+		if !drop(f.waiting[i]) {
 			i++
 			continue
 		}
-		removed = append(removed, t.waiting[i])
-		q.remove(l, t, i)
+		removed = append(removed, f.waiting[i])
+		q.remove(l, f, i)
 	}
 	return removed
 }
@@ -233,7 +233,7 @@
 func (q *Queue) totalCost() float64 { return q.costOfLanes(len(q.lanes)) }
 
 // costAhead returns the expected slot time, in seconds, of the requests that leave
-// before r. first is set if r goes ahead of all others in its lane.
+// before r. first is set if r is placed before all others in its lane.
 func (q *Queue) costAhead(r Request, first bool) float64 {
 	lanes := laneOf(r) + 1
 	if first {
@@ -247,8 +247,8 @@
 func (q *Queue) costOfLanes(lanes int) float64 {
 	total := 0.0
 	for i := range lanes {
-		for _, t := range q.lanes[i].flows {
-			total += t.cost
+		for _, f := range q.lanes[i].flows {
+			total += f.cost
 		}
 	}
 	return total
--- a/core/admission/shedder.go
+++ b/core/admission/shedder.go
@@ -78,38 +78,38 @@
 // Arrived counts a request.
 func (s *Shedder) Arrived(now time.Duration, r Request) {
 	for _, key := range levelKeys(r) {
-		o, ok := s.states[key]
+		state, ok := s.states[key]
 		if !ok {
-			o = &shedState{level: shedBuckets}
-			s.states[key] = o
+			state = &shedState{level: shedBuckets}
+			s.states[key] = state
 		}
-		o.arrivals[min(r.ShedRank>>shedShift, shedBuckets-1)]++
-		o.lastArrival = now
+		state.arrivals[min(r.ShedRank>>shedShift, shedBuckets-1)]++
+		state.lastArrival = now
 	}
 }
 
 // Served counts a request whose service began.
 func (s *Shedder) Served(r Request) {
 	for _, key := range levelKeys(r) {
-		if o, ok := s.states[key]; ok {
-			o.served++
+		if state, ok := s.states[key]; ok {
+			state.served++
 		}
 	}
 }
 
 // Shed counts a request that was refused here for lack of capacity.
 func (s *Shedder) Shed(r Request) {
-	if o, ok := s.states[shedKey{organisation: r.Organisation}]; ok {
-		o.shed++
+	if state, ok := s.states[shedKey{organisation: r.Organisation}]; ok {
+		state.shed++
 	}
 }
 
 // ChildShed counts a request whose service here was in vain because a child call was
 // refused for lack of capacity.
 func (s *Shedder) ChildShed(r Request) {
-	if o, ok := s.states[shedKey{organisation: r.Organisation, class: r.Class}]; ok {
-		o.shed++
-		o.served = max(o.served-1, 0)
+	if state, ok := s.states[shedKey{organisation: r.Organisation, class: r.Class}]; ok {
+		state.shed++
+		state.served = max(state.served-1, 0)
 	}
 }
 
@@ -119,9 +119,9 @@
 		return
 	}
 	s.next = now + shedInterval
-	for key, o := range s.states {
-		o.update()
-		if now-o.lastArrival > shedIdleTimeout {
+	for key, state := range s.states {
+		state.update()
+		if now-state.lastArrival > shedIdleTimeout {
 			delete(s.states, key)
 		}
 	}
@@ -132,8 +132,8 @@
 func (s *Shedder) Level(organisation coltsfootward.OrganisationName, class string) uint32 {
 	level := float64(shedBuckets)
 	for _, key := range levelKeys(Request{Organisation: organisation, Class: class}) {
-		if o, ok := s.states[key]; ok {
-			level = min(level, o.level)
+		if state, ok := s.states[key]; ok {
+			level = min(level, state.level)
 		}
 	}
 	if level >= shedBuckets {
@@ -145,26 +145,26 @@
 // update lowers the level towards the rank up to which the demand was served, or
 // raises it in steps that double, so that recovery takes about a second from any
 // level.
-func (o *shedState) update() {
-	if o.shed > 0 {
-		target := o.bucketAt(shedMargin * o.served)
-		o.level = min(o.level, (o.level+target)/2)
-		o.step = 1
+func (s *shedState) update() {
+	if s.shed > 0 {
+		target := s.bucketAt(shedMargin * s.served)
+		s.level = min(s.level, (s.level+target)/2)
+		s.step = 1
 	} else {
-		o.level = min(shedBuckets, o.level+o.step)
-		o.step = min(2*o.step, shedBuckets)
+		s.level = min(shedBuckets, s.level+s.step)
+		s.step = min(2*s.step, shedBuckets)
 	}
-	for i := range o.arrivals {
-		o.arrivals[i] *= shedDecay
+	for i := range s.arrivals {
+		s.arrivals[i] *= shedDecay
 	}
-	o.served *= shedDecay
-	o.shed = 0
+	s.served *= shedDecay
+	s.shed = 0
 }
 
 // bucketAt returns the position, in buckets, below which the given number of requests
 // arrived.
-func (o *shedState) bucketAt(count float64) float64 {
-	for i, n := range o.arrivals {
+func (s *shedState) bucketAt(count float64) float64 {
+	for i, n := range s.arrivals {
 		if n > count {
 			return float64(i) + count/n
 		}
--- a/core/attempt/forecast.go
+++ b/core/attempt/forecast.go
@@ -8,7 +8,7 @@
 	// the allocations, and changed behaviour is followed within some dozens of
 	// requests.
 	decayFactor = 0.05
-	// initialCalls is the number of calls of a service that are expected before
+	// initialCalls is the number of calls to a service that are expected before
 	// any request has ended. The first call gets half of the remainder.
 	initialCalls = 2
 )
@@ -20,33 +20,33 @@
 	value    float64
 }
 
-func (p decayingMaximum) with(observed int) decayingMaximum {
+func (m decayingMaximum) with(observed int) decayingMaximum {
 	seen := float64(observed)
-	if !p.hasValue || seen >= p.value {
+	if !m.hasValue || seen >= m.value {
 		return decayingMaximum{hasValue: true, value: seen}
 	}
-	return decayingMaximum{hasValue: true, value: p.value - (p.value-seen)*decayFactor}
+	return decayingMaximum{hasValue: true, value: m.value - (m.value-seen)*decayFactor}
 }
 
-func (p decayingMaximum) rounded(fallback int) int {
-	if !p.hasValue {
+func (m decayingMaximum) rounded(fallback int) int {
+	if !m.hasValue {
 		return fallback
 	}
-	return int(p.value + 0.5)
+	return int(m.value + 0.5)
 }
 
-// demand is what was observed of one service.
+// demand holds the observations of the calls to one service.
 type demand struct {
-	// calls is the number of calls of the service that one request makes.
+	// calls is the number of calls to the service that one request makes.
 	calls decayingMaximum
 	// need is the number of attempts that a successful call uses.
 	need decayingMaximum
-	// failed is set once a call was not answered.
+	// failed is set once a call got no response.
 	failed bool
 }
 
 // Forecast estimates, from the calls that a node has handled, the number of attempts
-// that a call of each service uses and the number of such calls that a request of
+// that a call to each service uses and the number of such calls that a request at
 // the local backend server makes. The estimates do not bound the attempts, they
 // only improve their distribution. The zero value has no observations. It is not
 // safe for concurrent use.
@@ -54,26 +54,26 @@
 	services map[coltsfootward.ServiceName]demand
 }
 
-// Need returns the estimated number of attempts that a call of the service uses if
+// Need returns the estimated number of attempts that a call to the service uses if
 // none fails, at least 1.
 func (f *Forecast) Need(service coltsfootward.ServiceName) int {
 	return max(f.services[service].need.rounded(1), 1)
 }
 
-// HasObservation reports whether a call of the service has succeeded.
+// HasObservation reports whether a call to the service has succeeded.
 func (f *Forecast) HasObservation(service coltsfootward.ServiceName) bool {
 	return f.services[service].need.hasValue
 }
 
-// NextAllocation returns the part of a call's remaining attempts that its next attempt gets
-// if another attempt may follow a lost one.
+// NextAllocation returns how many of a call's remaining attempts its next attempt
+// gets, if another attempt may follow should this one be lost.
 //
-// A lost attempt counts as if it had used everything that it was given. Enough for
-// one more complete attempt is therefore kept back, and half of the remaining
-// attempts if they are plentiful. If they do not suffice for two complete attempts,
-// the next attempt gets all of them. Before any call of the service has succeeded,
-// a quarter is kept back until a call fails, since it may have failed for lack of
-// this quarter.
+// A lost attempt counts as if it had used its whole allocation. Enough for one more
+// complete attempt is therefore kept back, and half of the remaining attempts if
+// they are plentiful. If they do not suffice for two complete attempts, the next
+// attempt gets all of them. Before any call to the service has succeeded, a quarter
+// is kept back until a call fails, since it may have failed for lack of this
+// quarter.
 func (f *Forecast) NextAllocation(service coltsfootward.ServiceName, remaining int) int {
 	need := f.Need(service)
 	switch {
@@ -88,7 +88,7 @@
 	}
 }
 
-// RecordFailure records that a call was not answered.
+// RecordFailure records that a call got no response.
 func (f *Forecast) RecordFailure(service coltsfootward.ServiceName) {
 	d := f.services[service]
 	d.failed = true
@@ -105,14 +105,14 @@
 }
 
 // RecordCalls records the calls that a request made until it ended.
-func (f *Forecast) RecordCalls(e *Budget) {
+func (f *Forecast) RecordCalls(budget *Budget) {
 	for service, d := range f.services {
-		if _, ok := e.childCalls[service]; !ok && d.calls.hasValue {
+		if _, ok := budget.childCalls[service]; !ok && d.calls.hasValue {
 			d.calls = d.calls.with(0)
 			f.services[service] = d
 		}
 	}
-	for service, count := range e.childCalls {
+	for service, count := range budget.childCalls {
 		d := f.services[service]
 		d.calls = d.calls.with(count)
 		f.set(service, d)
@@ -127,7 +127,7 @@
 }
 
 // upcomingNeed returns the total need of the calls that are still expected,
-// including the call of the service next that is about to begin.
+// including the call to the service next that is about to begin.
 func (f *Forecast) upcomingNeed(begun map[coltsfootward.ServiceName]int, next coltsfootward.ServiceName) int {
 	total := f.expectedNeed(begun)
 	d := f.services[next]
--- a/core/placement/level.go
+++ b/core/placement/level.go
@@ -14,12 +14,12 @@
 	// servers, and without the rise would shed for ever.
 	levelRisePerSecond = acceptAllLevel
 	// levelHold is how long a level stays constant before it rises. A node
-	// receives a few reports per second for one kind of request. A level that rose
-	// at once would let most of an overload pass between two reports.
+	// receives a few reports per second for one kind of request. If levels rose at
+	// once, most of an overload would be admitted between two reports.
 	levelHold = 300 * time.Millisecond
 	// levelFallFactor is the fraction of the distance to a lower reported level by
-	// which one report lowers a level. A single full server must not make a node
-	// shed requests that other servers would serve.
+	// which one report lowers a level. A single saturated server must not make a
+	// node shed requests that other servers would serve.
 	levelFallFactor = 0.8
 	// levelLifetime is the time within which a level without reports rises to
 	// acceptAllLevel from any value, and the interval at which such levels are
@@ -27,8 +27,8 @@
 	levelLifetime = 2 * time.Second
 )
 
-// RequestKind identifies the requests that a shed level applies to: those of one class
-// from one organisation.
+// RequestKind identifies the requests that a shed level applies to: those of one
+// class from one organisation.
 type RequestKind struct {
 	Organisation coltsfootward.OrganisationName
 	Class        string
@@ -36,8 +36,8 @@
 
 // shedLevels are the shed levels that a service's servers report with their
 // responses, one for each kind of request. A report that raises a level is
-// applied at once, one that lowers it only partly, so that the level follows the
-// servers that still have room.
+// applied in full, and a report that lowers it only in part, so that the level
+// follows the servers that still have spare capacity.
 type shedLevels struct {
 	byKind    map[RequestKind]shedLevel
 	lastSweep time.Duration
--- a/core/placement/pool.go
+++ b/core/placement/pool.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// SetColdLimited sets whether cold servers have a limited capacity. If they have not, a
-// cold server is only slower and starts with a smaller share of the requests.
+// SetColdLimited sets whether cold servers have a limited capacity. If they do not,
+// a cold server is only slower and starts with a smaller share of the requests.
 func (p *Pool) SetColdLimited(limited bool) {
 	if p.coldLimited == limited {
 		return
@@ -100,9 +100,10 @@
 	}
 }
 
-// WarmShare returns the share of the reachable servers' slots that are not on cold
-// servers, and the time until all servers are warm. A cold server counts with
-// the slots of its limited capacity. Without reachable servers both are zero.
+// WarmShare returns the share of the reachable servers' slots that can be used at
+// present: all slots of a warm server, and only the limited capacity of a cold one.
+// wait is the time until all servers are warm. Without reachable servers both
+// results are zero.
 func (p *Pool) WarmShare(now time.Duration) (share float64, wait time.Duration) {
 	var warm, all float64
 	for _, u := range p.upstreams {
@@ -261,9 +262,9 @@
 )
 
 // excludesCold reports whether cold servers get no requests. The small capacity of
-// a cold server is soon used up, and under an overload, when the warm servers are
-// fuller, every request would go to a cold server first and be refused there. If
-// most servers are cold, their capacity is needed.
+// a cold server is soon used up. Under an overload, when the warm servers have a
+// higher occupancy, every request would go to a cold server first and be refused
+// there. If most servers are cold, their capacity is needed.
 func (p *Pool) excludesCold(now time.Duration) bool {
 	if now >= p.nextColdCheck {
 		p.nextColdCheck = now + coldCheckInterval
@@ -308,8 +309,8 @@
 	Known, Tried, Ejected, Suspected, Unreachable int
 }
 
-// CountCandidates counts the servers of the pool for a request that was sent to those in
-// tried.
+// CountCandidates counts the servers of the pool for a request that was already sent
+// to the servers in tried.
 func (p *Pool) CountCandidates(now time.Duration, tried map[coltsfootward.InstanceID]bool) CandidateCounts {
 	c := CandidateCounts{Known: len(p.upstreams), Tried: len(tried)}
 	for _, u := range p.upstreams {
@@ -333,8 +334,8 @@
 	}
 }
 
-// AttemptEnded records the outcome of an attempt at a server. latency is the time since
-// the attempt was sent.
+// AttemptEnded records the outcome of an attempt at a server. latency is the time
+// since the attempt was sent.
 func (p *Pool) AttemptEnded(now time.Duration, id coltsfootward.InstanceID, outcome Outcome, latency time.Duration) {
 	if u, ok := p.upstreams[id]; ok {
 		u.attemptEnded(now, outcome, latency)
@@ -357,8 +358,8 @@
 	return message.Load{}
 }
 
-// ConnectionLost discards the last load report of a server after the connection to its node
-// broke.
+// ConnectionLost discards the last load report of a server after the connection to
+// its node broke.
 func (p *Pool) ConnectionLost(id coltsfootward.InstanceID) {
 	if u, ok := p.upstreams[id]; ok {
 		u.hasLoad = false
--- a/core/placement/upstream.go
+++ b/core/placement/upstream.go
@@ -20,7 +20,7 @@
 	slowStartDuration = 3 * time.Second
 	// slowStartShare is the fraction of its full share that a server starts with.
 	slowStartShare = 0.2
-	// latencyWeight is the weight of the newest sample in the smoothed latency.
+	// latencyWeight is the EWMA weight of the newest sample in the smoothed latency.
 	latencyWeight = 0.1
 	// ejectAfterFailures is the number of consecutive failed attempts after which a
 	// server is ejected. The first ejection lasts minimumEjection; the time doubles
@@ -81,7 +81,8 @@
 }
 
 // coldLimit is the concurrency limit assumed for a cold server with limited
-// capacity. Such a server gets requests when the others are full or cold as well.
+// capacity. Such a server gets requests when the others are saturated or cold as
+// well.
 const coldLimit = 1.0
 
 func (u *upstream) cold(now time.Duration) bool { return u.coldLimited && now < u.coldUntil }
--- a/core/pressure/callees.go
+++ b/core/pressure/callees.go
@@ -10,13 +10,13 @@
 
 const (
 	// callWindow is the length of the windows in which calls and requests in service
-	// are counted, and openWindows is the number of windows kept open. Together they
-	// are longer than nearly every request is in service. The part of a longer
-	// request before the oldest open window is not counted.
+	// are counted, and openWindows is the number of windows kept open. Nearly every
+	// request spends less time in service than the open windows cover together. The
+	// part of a longer request before the oldest open window is not counted.
 	callWindow  = 100 * time.Millisecond
 	openWindows = 8
-	// windowDecay is the factor by which the sums decay with each closed window; they
-	// reach back a few minutes.
+	// windowDecay is the factor by which the sums of the fit decay with each closed
+	// window, so that they cover the last few minutes.
 	windowDecay = 0.9995
 	// solveInterval is the time between two solutions of the fit.
 	solveInterval = 250 * time.Millisecond
@@ -76,9 +76,9 @@
 //
 // The fit is for calls per request and not for calls per time in service, because the
 // latter drops to a fraction while the called services are saturated. A fit of calls
-// per time in service over both conditions attributed calls to a class that makes
-// none and whose service time had not changed. That class was then refused for lack
-// of capacity at a service that it does not need.
+// per time in service, over windows with and without saturation, attributed calls to a
+// class that makes none and whose service time had not changed. That class was then
+// refused for lack of capacity at a service that it does not need.
 //
 // With many requests in service at once, the fit remains uncertain for minutes. It
 // matters only once a called service is saturated, and then the requests themselves
@@ -111,30 +111,30 @@
 	samples        int
 }
 
-func (t *latency) observe(took time.Duration) {
-	t.samples++
-	t.mean += max(latencyWeight, 1/float64(t.samples)) * (took.Seconds() - t.mean)
+func (l *latency) observe(took time.Duration) {
+	l.samples++
+	l.mean += max(latencyWeight, 1/float64(l.samples)) * (took.Seconds() - l.mean)
 	switch {
-	case t.samples < latencyMinSamples:
-	case t.samples == latencyMinSamples || t.mean < t.baseline:
-		t.baseline = t.mean
+	case l.samples < latencyMinSamples:
+	case l.samples == latencyMinSamples || l.mean < l.baseline:
+		l.baseline = l.mean
 	default:
-		t.baseline += baselineDrift * (t.mean - t.baseline)
+		l.baseline += baselineDrift * (l.mean - l.baseline)
 	}
 }
 
 // increase returns by how much the current mean exceeds the baseline, in seconds. It
 // is zero while there is no baseline.
-func (t *latency) increase() float64 {
-	if t.samples < latencyMinSamples {
+func (l *latency) increase() float64 {
+	if l.samples < latencyMinSamples {
 		return 0
 	}
-	return t.mean - t.baseline
+	return l.mean - l.baseline
 }
 
 // slowed reports whether the current mean exceeds the baseline by more than noise.
-func (t *latency) slowed() bool {
-	return t.increase() > max(slowedFraction*t.baseline, slowedMinSeconds)
+func (l *latency) slowed() bool {
+	return l.increase() > max(slowedFraction*l.baseline, slowedMinSeconds)
 }
 
 // classStats holds the observations of one class of requests.
@@ -248,7 +248,8 @@
 	return m
 }
 
-// advance opens the windows up to now, and closes the oldest ones in their place.
+// advance opens the windows up to now. Each takes the place of the oldest open window,
+// which is closed.
 func (c *Callees) advance(now time.Duration) {
 	number := int64(now / callWindow)
 	if number-c.newestWindow > openWindows {
@@ -293,13 +294,13 @@
 	}
 }
 
-// RequestEnded records the end of a request that entered service at began. failed is set if
-// the backend server failed the request.
+// RequestEnded records the end of a request that entered service at began. failed is
+// set if the backend server failed the request.
 func (c *Callees) RequestEnded(now, began time.Duration, class coltsfootward.RouteName, failed bool) {
 	c.advance(now)
 	k := c.class(class)
 	k.requests++
-	k.spread(began, now)
+	k.addToWindows(began, now)
 	if !failed {
 		k.latency.observe(now - began)
 	}
@@ -327,12 +328,13 @@
 	}
 }
 
-// spread distributes one request over the windows that its time in service overlaps.
-func (k *classStats) spread(began, ended time.Duration) {
-	whole := max(ended-began, 1)
+// addToWindows adds one request to the open windows, divided in proportion to the time
+// that it was in service during each.
+func (k *classStats) addToWindows(began, ended time.Duration) {
+	duration := max(ended-began, 1)
 	for from := max(began, ended-(openWindows-1)*callWindow); from < ended; {
 		to := min((from/callWindow+1)*callWindow, ended)
-		k.windows[int(from/callWindow)%openWindows] += float64(to-from) / float64(whole)
+		k.windows[int(from/callWindow)%openWindows] += float64(to-from) / float64(duration)
 		from = to
 	}
 }
@@ -350,7 +352,7 @@
 }
 
 // unaffected reports whether requests of the class have succeeded while child calls
-// failed, so that the class cannot make any.
+// failed, which means that the class makes no child calls.
 func (k *classStats) unaffected() bool {
 	return k.expectedFailures >= minExpectedFailures && k.failures < minFailureShare*k.expectedFailures
 }
--- a/core/pressure/doc.go
+++ b/core/pressure/doc.go
@@ -9,10 +9,10 @@
 // fraction: the least important requests first and, among equally important ones, the
 // most expensive.
 //
-// The design load is a burst that asks twice its capacity of a service at the end of
-// a call chain, while every request holds slots at all services up the chain. A
-// request refused at the last service has wasted the work of the others. Because each
-// request makes several calls to the saturated service, refusing a third of the calls
-// fails nearly all requests. The package only makes decisions: it reads no clock and
-// performs no I/O.
+// The design load is a burst whose demand for the last service of a call chain is
+// twice the capacity of that service, while every request holds slots at all services
+// up the chain. A request refused at the last service has wasted the work of the
+// others. Because each request makes several calls to the saturated service, refusing
+// a third of the calls fails nearly all requests. The package only makes decisions: it
+// reads no clock and performs no I/O.
 package pressure
--- a/core/pressure/gate.go
+++ b/core/pressure/gate.go
@@ -16,17 +16,18 @@
 	// excess. The reports of each server are already smooth; averaging evens out the
 	// differences between the servers of a service.
 	excessWeight = 0.2
-	// excessTimeConstant is the time constant for reports that arrive far apart, so
-	// that a single report replaces most of the earlier ones. An entry node that
-	// receives two reports per second about a service follows it as quickly as a node
-	// that receives 30.
+	// excessTimeConstant is the time constant with which a report's EWMA weight grows
+	// with the time since the previous report. A report that arrives long after the
+	// previous one thus replaces most of the average. An entry node that receives two
+	// reports per second about a service follows it as quickly as a node that receives
+	// 30.
 	excessTimeConstant = 250 * time.Millisecond
 	// reportLifetime is the time for which a report is valid. Without a newer report,
 	// the admitted fraction grows by the factor staleGrowth per interval.
 	reportLifetime = time.Second
 	staleGrowth    = 1.12
-	// demandDecay is the factor by which the demand's counts decay per interval; they
-	// reach back two seconds.
+	// demandDecay is the factor by which the demand's counts decay per interval, so
+	// that they cover about the last two seconds.
 	demandDecay = 0.95
 	// needWeight is the EWMA weight of the newest response in the share of responses
 	// that report a service. A class needs a service if the share is at least
@@ -154,8 +155,8 @@
 	return found
 }
 
-// ObserveResponse processes the reports in a response to a request of the class: the excess
-// at each service that such requests need. The nodes of a service find out
+// ObserveResponse processes the reports in a response to a request of the class: the
+// excess at each service that such requests need. The nodes of a service find out
 // independently, and at different times, which services a class needs. A service
 // counts as needed if most responses report it.
 func (g *Gates) ObserveResponse(now time.Duration, class coltsfootward.RouteName, reports []Report) {
@@ -217,8 +218,9 @@
 	Cold bool
 }
 
-// ReportsFor returns the excess of each service that the given calls need, to be reported
-// in responses. The cost of a service is the sum over the calls that a request makes.
+// ReportsFor returns the excess of each service that the given calls need, to be
+// reported in responses. The cost of a service is the sum over the calls that a request
+// makes.
 func (g *Gates) ReportsFor(now time.Duration, calls []Callee) []Report {
 	var reports []Report
 	index := make(map[coltsfootward.ServiceName]int)
@@ -284,9 +286,9 @@
 	return int(min(rank>>(rankBits-bucketBits), buckets-1))
 }
 
-// SetMinRefused sets the minimum fraction of the demand for a service to refuse, 0 to 1,
-// until it is called again. It is for conditions that are known in advance, such as
-// cold servers: reports of the servers arrive only after the load has reached them.
+// SetMinRefused sets the minimum fraction of the demand for a service to refuse, 0 to
+// 1, until it is called again. It is for conditions that are known in advance, such as
+// cold servers: the servers' reports arrive only after the load has reached them.
 func (g *Gates) SetMinRefused(service coltsfootward.ServiceName, fraction float64) {
 	if fraction > 0 || g.gates[service] != nil {
 		g.gate(service).minRefused = fraction
--- a/core/pressure/meter.go
+++ b/core/pressure/meter.go
@@ -30,12 +30,12 @@
 // use. Meter is not safe for concurrent use.
 //
 // The offered load is the slot time of all requests that arrive, whether they are
-// served, wait or are refused. The requests that run and wait do not show by how much
-// the demand exceeds the slots; with these alone, entry nodes would have to find that
-// out in steps of one second each.
+// served, wait or are refused. The numbers of running and waiting requests do not show
+// by how much the demand exceeds the slots. With these numbers alone, entry nodes would
+// have to find the excess in steps of one second each.
 type Meter struct {
-	// running and offered are moving averages in slots; backlog is one in slot
-	// seconds.
+	// running and offered are moving averages in slots, and backlog is a moving
+	// average in slot seconds.
 	running    float64
 	offered    float64
 	backlog    float64
@@ -70,8 +70,8 @@
 }
 
 // Rejected subtracts a request that the server has rejected without running it. A
-// server that rejects half of its requests has the slots for the rest, however often
-// the rejected requests are retried.
+// server that rejects half of its requests has enough slots for the others, however
+// often the rejected requests are retried.
 func (m *Meter) Rejected(slotTime time.Duration) {
 	m.offered = max(m.offered-slotTime.Seconds()/meterTimeConstant.Seconds(), 0)
 }
--- a/core/pressure/pressure_test.go
+++ b/core/pressure/pressure_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Guards against route names of old configurations that fill all places for classes.
+// Guards against route names of old configurations that use up all classes.
 // A node that had run for a long time then did not know which services the current
 // classes need, and under overload the least important requests were admitted.
 func TestCalleesReplaceOldRouteNames(t *testing.T) {
--- a/core/pressure/price.go
+++ b/core/pressure/price.go
@@ -11,8 +11,9 @@
 	// A request is expensive if it takes at least expensiveFactor times the mean slot
 	// time of its band.
 	expensiveFactor = 2.0
-	// expensiveShare is the share of expensive requests that is served relative to
-	// the share of the others, while some of the others are refused as well.
+	// expensiveShare is the share of the expensive requests that are ranked like the
+	// others. While some of the others are refused as well, the served fraction of the
+	// expensive requests is expensiveShare times that of the others.
 	expensiveShare = 0.4
 )
 
@@ -32,14 +33,14 @@
 
 // cost returns the known slot time of a request or, if it is unknown, the mean slot
 // time of all requests.
-func (p *bandCosts) cost(known float64) float64 {
+func (b *bandCosts) cost(known float64) float64 {
 	if known > 0 {
 		return known
 	}
 	sum, count := 0.0, 0.0
-	for i := range p.sums {
-		sum += p.sums[i]
-		count += p.counts[i]
+	for i := range b.sums {
+		sum += b.sums[i]
+		count += b.counts[i]
 	}
 	if sum <= 0 {
 		return 1
@@ -48,27 +49,27 @@
 }
 
 // observe adds a request to the averages.
-func (p *bandCosts) observe(rank uint32, cost float64) {
+func (b *bandCosts) observe(rank uint32, cost float64) {
 	band := bandOf(rank)
-	p.sums[band] += cost
-	p.counts[band]++
+	b.sums[band] += cost
+	b.counts[band]++
 }
 
 // decay reduces the weight of older requests.
-func (p *bandCosts) decay() {
-	for i := range p.sums {
-		p.sums[i] *= demandDecay
-		p.counts[i] *= demandDecay
+func (b *bandCosts) decay() {
+	for i := range b.sums {
+		b.sums[i] *= demandDecay
+		b.counts[i] *= demandDecay
 	}
 }
 
 // effectiveRank returns the rank by which a request is refused. It lies in the first
 // half of the request's band, or in the second half if the request is expensive and
 // does not belong to the share that is treated like the others.
-func (p *bandCosts) effectiveRank(rank uint32, cost float64) uint32 {
+func (b *bandCosts) effectiveRank(rank uint32, cost float64) uint32 {
 	band, hash := bandOf(rank), float64(rank%hashRange)/hashRange
 	switch {
-	case p.counts[band] < 1 || cost*p.counts[band] < expensiveFactor*p.sums[band]:
+	case b.counts[band] < 1 || cost*b.counts[band] < expensiveFactor*b.sums[band]:
 		hash /= 2
 	case hash < expensiveShare:
 		hash /= 2 * expensiveShare
--- a/core/pressure/throttle.go
+++ b/core/pressure/throttle.go
@@ -20,9 +20,9 @@
 	// minimum for its increase: the wanted fraction is at least the present one plus
 	// throttleGain times the difference between idleRatio and the ratio. Where
 	// reports take longer than throttleLag, as in deployments whose nodes receive
-	// only two reports per second about a service, the estimate of the admitted
-	// fraction runs ahead. Without this limit, the fraction falls to almost nothing
-	// and then takes many seconds to recover.
+	// only two reports per second about a service, laggedExcess follows the excess
+	// faster than the ratio does. Without this limit, the fraction falls to almost
+	// nothing and then takes many seconds to recover.
 	throttleGain = 1.0
 	idleRatio    = 0.9
 	// minRatio bounds how far one observation may raise the fraction.
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -17,13 +17,13 @@
 	KindCallNonLeaf RequestKind = "call_above"
 )
 
-// The thresholds are the fractions of a service's share up to which a request of
-// the kind may be retried, counting all retries to the service. A retry of a
-// non-leaf request also repeats the work of the services below, and counts as a
-// retry at each of them, so non-leaf requests have lower thresholds: in a chain of
-// four services that all fail, a tenth of the requests at the top are retried, and
-// the resulting load leaves the deepest service some retries of its own. The last
-// tenth of the share is reserved for requests whose first attempt is still in
+// The thresholds are the fractions of Budget.Share up to which a request of the kind
+// may be retried, counting all retries to the service. A retry of a non-leaf request
+// also repeats the work of the services down the call chain, and counts as a retry at
+// each of them, so non-leaf requests have lower thresholds: in a chain of four
+// services that all fail, a tenth of the requests to the first service are retried,
+// and the load of these retries leaves the last service some retries of its own. The
+// last tenth of the share is reserved for requests whose first attempt is still in
 // flight.
 const (
 	callerThreshold        = 0.90
@@ -34,8 +34,8 @@
 	// in addition to the share, divided among the nodes.
 	burstFraction = 0.4
 	// windowStep is the resolution of the sliding window and windowSteps its length
-	// in steps. The window covers at least ten seconds when its newest step has only
-	// begun.
+	// in steps. The window covers at least ten seconds, even when its newest step has
+	// only begun.
 	windowStep  = 500 * time.Millisecond
 	windowSteps = 21
 )
@@ -43,14 +43,16 @@
 // Budget limits one node's retries to one service to a share of the node's requests
 // to it within any ten seconds, so that the limit holds for all nodes together
 // without coordination. Retries that are not needed in one second may be used in
-// another: if servers lose a quarter of their responses for four seconds, all of
-// these requests are retried, where a constant rate of retries would cover a
-// third. The zero value allows no retries. It is not safe for concurrent use.
+// another: if servers lose a quarter of their responses for four seconds, all
+// affected requests are retried, while a constant rate of retries would suffice for
+// only a third of them. The zero value allows no retries. It is not safe for
+// concurrent use.
 //
 // Calls made by a retried request are retries at the called services and cannot be
 // refused there, so they are counted first. Callers' own requests take precedence
-// over calls, since one request may need several calls: calls leave room for the
-// retries that callers' requests have needed within the window.
+// over calls, since one request may need several calls: a call is retried only if
+// the budget also covers the retries that callers' requests have needed within the
+// window.
 type Budget struct {
 	// Share is the largest ratio of retries to requests.
 	Share float64
@@ -75,12 +77,12 @@
 	callerWanted, callerAllowed, otherAllowed int
 }
 
-func (s *budgetCounts) add(o budgetCounts, times int) {
-	s.requests += times * o.requests
-	s.inherited += times * o.inherited
-	s.callerWanted += times * o.callerWanted
-	s.callerAllowed += times * o.callerAllowed
-	s.otherAllowed += times * o.otherAllowed
+func (c *budgetCounts) add(other budgetCounts, times int) {
+	c.requests += times * other.requests
+	c.inherited += times * other.inherited
+	c.callerWanted += times * other.callerWanted
+	c.callerAllowed += times * other.callerAllowed
+	c.otherAllowed += times * other.otherAllowed
 }
 
 // advance moves the window to now and returns the counts of the newest step.
@@ -95,8 +97,8 @@
 	return &b.steps[b.step%windowSteps]
 }
 
-// RecordRequest counts a request's first attempt. inherited is set if the request is a
-// call made by a retried request.
+// RecordRequest counts a request's first attempt. inherited is set if the request is
+// a call made by a retried request.
 func (b *Budget) RecordRequest(now time.Duration, inherited bool) {
 	counted := budgetCounts{requests: 1}
 	if inherited {
