--- a/core/configuration/store.go
+++ b/core/configuration/store.go
@@ -100,8 +100,8 @@
 	return fmt.Sprintf("configuration: change %s was not stored because of too many concurrent changes: send it again", e.ChangeID)
 }
 
-// UnknownOutcomeError reports that the platform did not answer, so that it is unknown whether the
-// change was stored.
+// UnknownOutcomeError reports that the platform did not answer, so that it is unknown
+// whether the change was stored.
 type UnknownOutcomeError struct {
 	ChangeID string
 	Err      error
@@ -159,9 +159,9 @@
 // ID: for a change that is already stored it returns that change's revision.
 //
 // Submit returns a *ConflictError, *ChangeIDError, *UnknownOrganisationError,
-// *KeyReusedError or *WithdrawnError for an invalid change, a *BusyError for a change
-// that was not stored because of concurrent changes, and a *DoubtError for a change
-// that may or may not have been stored.
+// *KeyReusedError or *KeyWithdrawnError for an invalid change, a *BusyError for a
+// change that was not stored because of concurrent changes, and an
+// *UnknownOutcomeError for a change that may or may not have been stored.
 func (s *Store) Submit(ctx context.Context, change coltsfootward.Change, precondition Precondition) (coltsfootward.Revision, error) {
 	var last error
 	unanswered := 0
--- a/core/configuration/store_test.go
+++ b/core/configuration/store_test.go
@@ -19,7 +19,8 @@
 	coltsfootward.Table
 	count int
 	step  func(number int)
-	// lostResponses is the number of transactions that take effect but return ErrUnavailable.
+	// lostResponses is the number of transactions that take effect but return
+	// ErrUnavailable.
 	lostResponses int
 }
 
--- a/core/membership/benchmark_test.go
+++ b/core/membership/benchmark_test.go
@@ -69,8 +69,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// machineWithMembers returns a machine with size members, in 18 domains and 1,500 services, and the
-// updates with which they were added.
+// machineWithMembers returns a machine with size members, in 18 domains and 1,500
+// services, and the updates with which they were added.
 func machineWithMembers(size int) (*membership.Machine, []message.MemberUpdate) {
 	self := coltsfootward.Instance{ID: "self", Domain: "d00", Address: "10.0.0.1:7000", Incarnation: 1}
 	options := membership.Options{Self: self, Send: func(coltsfootward.Instance, message.Message) {}}
@@ -119,9 +119,9 @@
 			for i := range b.N {
 				gossip := &message.Gossip{}
 				for k := range 8 {
-					n := &updates[(i*8+k)%size]
-					n.Announcement.Version++
-					gossip.Updates = append(gossip.Updates, *n)
+					update := &updates[(i*8+k)%size]
+					update.Announcement.Version++
+					gossip.Updates = append(gossip.Updates, *update)
 				}
 				m.Receive(now, "instance-00001", gossip, 0)
 			}
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -126,8 +126,8 @@
 	c.now = end
 }
 
-// runUntil runs runUntil done returns true, at most for limit. It returns the elapsed time
-// and whether done returned true.
+// runUntil runs the cluster until done returns true, at most for limit. It returns the
+// elapsed time and whether done returned true.
 func (c *cluster) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	start := c.now
 	for !done() {
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -79,8 +79,8 @@
 	m.AnnounceCold(service, slots, draining, 0)
 }
 
-// AnnounceCold is Announce with the remaining time for which the backend server is
-// slow after its start.
+// AnnounceCold is like Announce and also publishes the remaining time for which the
+// backend server is cold after its start.
 func (m *Machine) AnnounceCold(service coltsfootward.ServiceName, slots int, draining bool, cold time.Duration) {
 	m.publish(func(a *message.Announcement) {
 		a.Cold = cold
@@ -98,8 +98,8 @@
 	})
 }
 
-// AnnounceLeft notifies a few members immediately that the node stops now. If none of the
-// messages arrives, the other members detect the stop by probes, as they detect a
+// AnnounceLeft notifies a few members immediately that the node stops now. If none of
+// the messages arrives, the other members detect the stop by probes, as they detect a
 // killed node.
 func (m *Machine) AnnounceLeft() {
 	m.self.State = message.MemberLeft
@@ -157,7 +157,7 @@
 	}
 }
 
-// Receive processes a message from a member. Age is an upper bound of the time since
+// Receive processes a message from a member. age is an upper bound of the time since
 // the message was sent. Messages that do not belong to the membership protocol only
 // show that their sender is alive.
 func (m *Machine) Receive(now coltsfootward.Instant, from coltsfootward.InstanceID, received message.Message, age time.Duration) {
@@ -214,7 +214,7 @@
 // announceReturn notifies members of this node's failure domain directly that it is
 // connected again. They may have declared this node gone in the meantime. If only
 // gossip corrected that, some members would keep the stale state for several seconds
-// and perform this node's duties at the same time as this node.
+// and take over tasks that this node still performs.
 func (m *Machine) announceReturn() {
 	m.publish(func(*message.Announcement) {})
 	list := m.roster.domains[m.options.Self.Domain]
@@ -236,8 +236,8 @@
 }
 
 func (m *Machine) mergeAll(updates []message.MemberUpdate) {
-	for _, n := range updates {
-		m.merge(n, true)
+	for _, update := range updates {
+		m.merge(update, true)
 	}
 }
 
--- a/core/membership/neighbour.go
+++ b/core/membership/neighbour.go
@@ -18,10 +18,9 @@
 	// successors is the number of members after this node in the ring that it probes
 	// in turn. Each member is therefore probed by eight others, about once a second.
 	successors = 8
-	// randomProbePeriod is the number of probes of which one goes to a random member.
-	// By such probes, members that declared each other gone during a network
-	// partition find each other again, and the reachability of a domain does not
-	// depend on a single member.
+	// One in randomProbePeriod probes goes to a random member. By such probes, members
+	// that declared each other gone during a network partition find each other again,
+	// and the reachability of a domain does not depend on a single member.
 	randomProbePeriod = 8
 )
 
--- a/core/membership/options.go
+++ b/core/membership/options.go
@@ -17,17 +17,18 @@
 	// Digest returns the configuration digest to send with all gossip; nil means an
 	// empty digest.
 	Digest func() message.ConfigurationDigest
-	// OnChange is called for every update of another member that this node applies. It
-	// may be nil.
+	// OnChange is called for every update of another member that this node applies.
+	// It may be nil.
 	OnChange func(old, update message.MemberUpdate)
-	// OnReachable is called when another failure domain becomes unreachable or reachable
-	// again. It may be nil.
+	// OnReachable is called when another failure domain becomes unreachable or
+	// reachable again. It may be nil.
 	OnReachable func(domain coltsfootward.FailureDomain, reachable bool)
 	// ProbeInterval is the time between two probes, both within the node's domain and
 	// across domains. The default is 1 s.
 	ProbeInterval time.Duration
 	// ProbeTimeout is how long a direct probe may remain unanswered before indirect
-	// probes are requested. Those get twice as long. The default is 500 ms.
+	// probes are requested. The indirect probes get twice as long. The default is
+	// 500 ms.
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is how long a suspected member has to refute the suspicion
 	// before it is declared gone. The default is 4 s.
@@ -54,8 +55,8 @@
 )
 
 const (
-	// indirectProbes is the number of other members that are asked to probe a member
-	// that did not answer. All three fail to reach a live member only if that member
+	// indirectProbes is the number of other members that are requested to probe a
+	// member that did not answer. All three fail to reach a live member only if that member
 	// is partitioned from most of the domain.
 	indirectProbes = 3
 	// gossipTargets is the number of members that receive updates in each round: two
--- a/core/membership/query.go
+++ b/core/membership/query.go
@@ -13,8 +13,8 @@
 type Member struct {
 	Announcement message.Announcement
 	State        message.MemberState
-	// LastSeen is when the latest message that this node received from the member itself
-	// was sent, by Instant.Expiry. It is valid only if Known is set.
+	// LastSeen is when the latest message that this node received from the member
+	// itself was sent, by Instant.Expiry. It is valid only if Seen is set.
 	LastSeen time.Duration
 	Seen     bool
 }
@@ -83,10 +83,10 @@
 	return slices.DeleteFunc(m.RosterWithLeaving(domain), func(member Member) bool { return member.Announcement.Leaving })
 }
 
-// RosterWithLeaving returns the members of a failure domain that have not announced that they
-// have stopped, in an order that is the same at every node. It includes this node if
-// it belongs to the domain, members that are about to leave, since they still serve
-// for seconds, and gone members, with that state.
+// RosterWithLeaving returns the members of a failure domain that have not announced
+// that they have stopped, in an order that is the same at every node. It includes this
+// node if it belongs to the domain, members that are about to leave, since they still
+// serve for seconds, and gone members, with that state.
 func (m *Machine) RosterWithLeaving(domain coltsfootward.FailureDomain) []Member {
 	var found []Member
 	for _, entry := range m.roster.domains[domain] {
@@ -97,9 +97,9 @@
 	return found
 }
 
-// FirstAlive returns the first count alive members of a failure domain, in an order that
-// is the same at every node. All nodes thus mostly get the same members. Members that
-// are leaving or suspected are skipped.
+// FirstAlive returns the first count alive members of a failure domain, in an order
+// that is the same at every node. All nodes thus mostly get the same members. Members
+// that are leaving or suspected are skipped.
 func (m *Machine) FirstAlive(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
 	var found []coltsfootward.Instance
 	for _, entry := range m.roster.domains[domain] {
@@ -113,26 +113,26 @@
 	return found
 }
 
-// Rank returns this node's index in the result of First for its own domain and
-// count, or -1 if it is not in there.
+// Rank returns this node's index in the result of FirstAlive for its own domain and
+// count, or -1 if it is not included.
 func (m *Machine) Rank(count int) int {
 	return slices.IndexFunc(m.FirstAlive(m.options.Self.Domain, count), func(i coltsfootward.Instance) bool {
 		return i.ID == m.options.Self.ID
 	})
 }
 
-// Neighbours returns up to count present members of a failure domain, without this node,
-// to which it usually has connections already: random fingers in this node's domain,
-// or its counterpart in another domain.
+// Neighbours returns up to count present members of a failure domain to which this
+// node usually has connections already: random fingers in its own domain, or its
+// counterpart in another domain. This node is not included.
 func (m *Machine) Neighbours(domain coltsfootward.FailureDomain, count int) []coltsfootward.Instance {
-	var lines []*member
+	var members []*member
 	if domain == m.options.Self.Domain {
-		lines = m.someFingers(count)
+		members = m.someFingers(count)
 	} else if entry := m.counterpart(domain); entry != nil {
-		lines = []*member{entry}
+		members = []*member{entry}
 	}
 	var found []coltsfootward.Instance
-	for _, entry := range lines {
+	for _, entry := range members {
 		found = append(found, entry.latest.Announcement.Instance)
 	}
 	return found
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -94,7 +94,7 @@
 	r.domains[m.domain()] = insert(r.domains[m.domain()], m, byHash)
 	b := bucketOf(m.hash)
 	r.buckets[b] = insert(r.buckets[b], m, byID)
-	r.hash(m)
+	r.toggleDigest(m)
 	if !m.present() {
 		return
 	}
@@ -108,7 +108,7 @@
 	setOrDelete(r.domains, m.domain(), removeMember(r.domains[m.domain()], m, byHash))
 	b := bucketOf(m.hash)
 	r.buckets[b] = removeMember(r.buckets[b], m, byID)
-	r.hash(m)
+	r.toggleDigest(m)
 	if !m.present() {
 		return
 	}
@@ -117,9 +117,9 @@
 	setOrDelete(r.services, service, removeMember(r.services[service], m, byID))
 }
 
-// hash adds a member's digest to the hashes of its bucket and of the roster, or
-// removes it again.
-func (r *roster) hash(m *member) {
+// toggleDigest adds a member's digest to the hashes of its bucket and of the roster by
+// XOR. A second call for the same digest removes it again.
+func (r *roster) toggleDigest(m *member) {
 	r.hashes[bucketOf(m.hash)] ^= m.digest
 	r.total ^= m.digest
 }
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -112,9 +112,9 @@
 
 func (m *Machine) handleRosterPage(from coltsfootward.InstanceID, r *message.RosterPage) {
 	newer := 0
-	for _, n := range r.Updates {
-		entry, ok := m.roster.members[n.Announcement.Instance.ID]
-		if !ok || n.Newer(entry.latest) {
+	for _, update := range r.Updates {
+		entry, ok := m.roster.members[update.Announcement.Instance.ID]
+		if !ok || update.Newer(entry.latest) {
 			newer++
 		}
 	}
--- a/core/record/hybrid.go
+++ b/core/record/hybrid.go
@@ -34,8 +34,8 @@
 	last Stamp
 }
 
-// Next returns a stamp for an event at the time wall. It is higher than all stamps
-// returned or accepted before.
+// Next returns a stamp for an event at the time wall. It is higher than all stamps that
+// Next returned or Observe accepted before.
 func (c *HybridClock) Next(wall time.Time) Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
