--- a/cmd/daemon/connections.go
+++ b/cmd/daemon/connections.go
@@ -29,9 +29,9 @@
 
 func (c *connections) lost() { c.lostCount.Add(1) }
 
-// dueReport returns how many connections were made since the last report. It reports
-// false if connectionsInterval has not passed since then.
-func (c *connections) dueReport(now time.Time) (int, bool) {
+// takeReport returns how many connections were made since the last report and starts a
+// new count. It reports false if connectionsInterval has not passed since then.
+func (c *connections) takeReport(now time.Time) (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Sub(c.lastReport) < connectionsInterval {
--- a/cmd/daemon/connections_test.go
+++ b/cmd/daemon/connections_test.go
@@ -14,7 +14,7 @@
 	reported, lines := 0, 0
 	for range 1000 {
 		c.connected()
-		if opened, ok := c.dueReport(now); ok {
+		if opened, ok := c.takeReport(now); ok {
 			reported += opened
 			lines++
 		}
--- a/cmd/daemon/daemon.go
+++ b/cmd/daemon/daemon.go
@@ -78,15 +78,15 @@
 // Reload applies new settings. Only the log level can change while the node runs. The
 // log record of the reload states whether other settings differ and need a restart.
 func (d *Daemon) Reload(s settings.Settings) {
-	waiting := "no"
+	needsRestart := "no"
 	present := d.settings
 	present.Log.Level = s.Log.Level
 	if !reflect.DeepEqual(present, s) {
-		waiting = "yes"
+		needsRestart = "yes"
 	}
 	d.level.SetLevel(levelOf(s.Log.Level))
 	d.report(record.New(record.SettingsRead, time.Now(),
-		record.Field{Name: "level", Value: s.Log.Level}, record.Field{Name: "waits_for_start", Value: waiting}))
+		record.Field{Name: "level", Value: s.Log.Level}, record.Field{Name: "waits_for_start", Value: needsRestart}))
 }
 
 // SettingsFailed logs that the settings could not be read. The present ones stay in
--- a/cmd/daemon/hosted.go
+++ b/cmd/daemon/hosted.go
@@ -26,23 +26,23 @@
 	// backend server accepts, per slot, if the configuration doesn't set it.
 	defaultConnectionsPerSlot = 2
 	// joinTimeout is how long a started node waits for another node before it reports
-	// that it is ready without one. Ready earlier, it would refuse requests that other
-	// nodes could serve.
+	// that it is ready without one. A node that reported so earlier would refuse requests
+	// that other nodes could serve.
 	joinTimeout = 3 * time.Second
 	// configurationCheckInterval is the time between two checks whether the node has a
 	// configuration. healthCheckInterval is the time between two health checks of a
 	// backend server that has sent no heartbeat since the node started.
 	configurationCheckInterval = 20 * time.Millisecond
 	healthCheckInterval        = 250 * time.Millisecond
-	// findBackendTimeout bounds the time after the node's start in which it makes these
+	// findBackendTimeout bounds the time after its start in which a node makes these
 	// health checks. It is longer than the interval of a backend server's heartbeats.
 	findBackendTimeout = 4 * time.Second
 	// backendNotice is how long the node refuses new work for its backend server before
-	// it closes the callers' connections. Gossip spreads this to the other nodes within
-	// three rounds. A node that has not received the update yet is refused and chooses
-	// another backend server.
+	// it closes the callers' connections. Gossip spreads this state to the other nodes
+	// within three rounds. A node that has not received the update yet is refused and
+	// chooses another backend server.
 	backendNotice = 800 * time.Millisecond
-	// closeMargin is the part of the time for a stop that is reserved for closing
+	// closeMargin is the part of the grace period that is reserved for closing the
 	// connections.
 	closeMargin = 300 * time.Millisecond
 )
@@ -56,11 +56,14 @@
 	started    time.Time
 	done       chan struct{}
 	wait       sync.WaitGroup
-	leaving    atomic.Bool
-	joined     atomic.Bool
+	// stopping is set once the node is stopping.
+	stopping atomic.Bool
+	// joined is set once a readiness check has found that the node knows another node.
+	joined atomic.Bool
 	// platformDown is set while the platform does not respond to the watcher.
 	platformDown atomic.Bool
-	current      atomic.Pointer[coltsfootward.Configuration]
+	// current is the configuration in force.
+	current atomic.Pointer[coltsfootward.Configuration]
 
 	mu             sync.Mutex
 	backendMachine backend.Machine
@@ -78,7 +81,7 @@
 	handler := caller.NewWithOptions(c.loop, c.transport, caller.Options{Routed: &fields})
 	h.server = caller.NewServer(http.HandlerFunc(handler.ServeRouted), caller.ServerOptions{
 		Limits: func() coltsfootward.Limits { return h.current.Load().Limits() },
-		Eager:  caller.EagerIn(func() coltsfootward.Configuration { return *h.current.Load() }),
+		Eager:  caller.EagerIfRepeatable(func() coltsfootward.Configuration { return *h.current.Load() }),
 	})
 	c.wait.Go(func() {
 		if err := h.server.Serve(l.callers); !errors.Is(err, http.ErrServerClosed) {
@@ -92,7 +95,7 @@
 		Task:       h.documentTask,
 		OnDocument: h.applyDocument,
 		OnError:    h.platformFailed,
-		OnResponse: h.platformAnswered,
+		OnResponse: h.platformResponded,
 	})
 	h.wait.Go(h.findBackend)
 }
@@ -112,8 +115,8 @@
 	}
 }
 
-// platformFailed logs a document that can't be used, and the first of several calls
-// that the platform did not answer.
+// platformFailed logs a document that can't be used, and the first of several
+// successive calls that got no usable response from the platform.
 func (h *hosted) platformFailed(err error) {
 	if !errors.Is(err, coltsfootward.ErrUnavailable) {
 		h.components.reporter.event(record.DocumentUnread, "error", err.Error())
@@ -124,8 +127,8 @@
 	}
 }
 
-// platformAnswered logs that the platform responds again.
-func (h *hosted) platformAnswered() {
+// platformResponded logs that the platform responds again.
+func (h *hosted) platformResponded() {
 	if h.platformDown.Swap(false) {
 		h.components.reporter.event(record.PlatformAvailable, "by", "document")
 	}
@@ -216,7 +219,7 @@
 	defer h.mu.Unlock()
 	recovered := h.backendMachine.Recover(coltsfootward.Heartbeat{
 		ID: health.ID, Service: h.backendMachine.Service, Address: h.backendMachine.Address,
-		Slots: health.Slots, ColdRemaining: health.Cold, State: coltsfootward.BackendReady,
+		Slots: health.Slots, ColdRemaining: health.ColdRemaining, State: coltsfootward.BackendReady,
 	})
 	if recovered {
 		h.components.reporter.event(record.BackendFound, "backend", health.ID)
@@ -231,11 +234,11 @@
 	return upstream.CheckHealth(backend.Address, service.HealthPath, platform.Fields())
 }
 
-// checkBackend starts a health check and passes the result, whether the backend server
-// is cold, to the state machine. If the check fails, the state machine keeps its
-// assumption.
+// checkBackend starts a health check and passes the remaining time for which the backend
+// server is cold to the state machine. If the check fails, the state machine keeps the
+// time that it assumes.
 func (h *hosted) checkBackend() {
-	if h.leaving.Load() {
+	if h.stopping.Load() {
 		return
 	}
 	h.wait.Go(func() {
@@ -244,7 +247,7 @@
 			h.components.reporter.event(record.BackendUnchecked, "error", err.Error())
 			return
 		}
-		h.components.loop.Post(node.BackendChecked{Cold: health.Cold})
+		h.components.loop.Post(node.BackendChecked{Cold: health.ColdRemaining})
 	})
 }
 
@@ -259,21 +262,21 @@
 }
 
 // ready reports whether the platform should route callers to this node: the node has a
-// configuration, knows another node or has waited joinTimeout for one, and is not about
-// to stop.
+// configuration, has found another node or has waited joinTimeout for one, and is not
+// stopping.
 func (h *hosted) ready() bool {
-	if h.leaving.Load() || h.current.Load().Revision() == 0 {
+	if h.stopping.Load() || h.current.Load().Revision() == 0 {
 		return false
 	}
 	if h.joined.Load() || time.Since(h.started) > joinTimeout {
 		return true
 	}
-	peers := 0
-	h.components.loop.Inspect(func(n *node.Node) { peers = n.Members() })
-	if peers > 1 {
+	members := 0
+	h.components.loop.Inspect(func(n *node.Node) { members = n.Members() })
+	if members > 1 {
 		h.joined.Store(true)
 	}
-	return peers > 1
+	return members > 1
 }
 
 // stop closes the callers' connections gracefully and finishes the running requests.
@@ -283,7 +286,7 @@
 // a service of three servers whose nodes are replaced one after the other would lack a
 // third of its capacity for the whole notice period.
 func (h *hosted) stop(ctx context.Context) error {
-	h.leaving.Store(true)
+	h.stopping.Store(true)
 	// Requests that still run goodbyeTimeout before the deadline are aborted, so that
 	// the goodbyes reach the peers in time.
 	if deadline, ok := ctx.Deadline(); ok {
@@ -292,10 +295,10 @@
 		defer cancel()
 	}
 	notice := h.components.settings.Stop.Notice
-	last := min(notice, backendNotice)
-	sleep(ctx, notice-last)
+	drainNotice := min(notice, backendNotice)
+	sleep(ctx, notice-drainNotice)
 	h.components.loop.Post(node.DrainRequested{})
-	sleep(ctx, last)
+	sleep(ctx, drainNotice)
 	err := h.server.Shutdown(ctx)
 	h.components.loop.Post(node.FinishRequested{})
 	select {
--- a/cmd/daemon/metrics.go
+++ b/cmd/daemon/metrics.go
@@ -60,29 +60,29 @@
 
 // Names of the counters.
 const (
-	countRequests         = "requests"
-	countAnswersWhole     = "answers_whole"
-	countAnswersBroken    = "answers_broken"
-	countCallersLeft      = "callers_left"
-	countAttempts         = "attempts"
-	countAttemptsLost     = "attempts_lost"
-	countPeerCalls        = "peer_calls"
-	countDispatches       = "dispatches"
-	countDispatchesFailed = "dispatches_failed"
-	countMessagesSent     = "messages_sent"
-	countMessagesReceived = "messages_received"
-	countPlatform         = "platform_operations"
-	countPlatformFailures = "platform_failures"
-	countEvents           = "loop_events"
-	countBusy             = "loop_busy_microseconds"
-	countWaited           = "loop_waited_microseconds"
-	countSlow             = "loop_slow_events"
-	countConnected        = "peers_connected"
-	countLost             = "peers_lost"
+	countRequests           = "requests"
+	countResponsesComplete  = "answers_whole"
+	countResponsesTruncated = "answers_broken"
+	countCallersLeft        = "callers_left"
+	countAttempts           = "attempts"
+	countAttemptsLost       = "attempts_lost"
+	countPeerCalls          = "peer_calls"
+	countDispatches         = "dispatches"
+	countDispatchesFailed   = "dispatches_failed"
+	countMessagesSent       = "messages_sent"
+	countMessagesReceived   = "messages_received"
+	countPlatform           = "platform_operations"
+	countPlatformFailures   = "platform_failures"
+	countEvents             = "loop_events"
+	countBusy               = "loop_busy_microseconds"
+	countWaited             = "loop_waited_microseconds"
+	countSlow               = "loop_slow_events"
+	countConnected          = "peers_connected"
+	countLost               = "peers_lost"
 )
 
 var counterNames = []string{
-	countRequests, countAnswersWhole, countAnswersBroken, countCallersLeft, countAttempts, countAttemptsLost,
+	countRequests, countResponsesComplete, countResponsesTruncated, countCallersLeft, countAttempts, countAttemptsLost,
 	countPeerCalls, countDispatches, countDispatchesFailed, countMessagesSent, countMessagesReceived,
 	countPlatform, countPlatformFailures, countEvents, countBusy, countWaited, countSlow, countConnected, countLost,
 }
@@ -143,10 +143,10 @@
 	m.recordCallLatency(e.Call, m.latencies.answered)
 	delete(m.arrivals, e.Call)
 	if e.Complete {
-		m.add(countAnswersWhole, 1)
+		m.add(countResponsesComplete, 1)
 		return
 	}
-	m.add(countAnswersBroken, 1)
+	m.add(countResponsesTruncated, 1)
 }
 
 func (m *metrics) countAction(action node.Action) {
@@ -203,8 +203,8 @@
 	// OutOfService are the failure domains that operators have taken out of service.
 	OutOfService []coltsfootward.FailureDomain `json:"out_of_service"`
 	// ColdMilliseconds is the remaining time for which the local backend server is
-	// cold. ColdPassed and ColdRefused count the requests that were passed to it and
-	// refused for it while it was cold.
+	// cold. ColdPassed and ColdRefused count the requests that were sent to it and
+	// refused on its behalf while it was cold.
 	ColdMilliseconds int64 `json:"cold_milliseconds"`
 	ColdPassed       int   `json:"cold_passed"`
 	ColdRefused      int   `json:"cold_refused"`
--- a/cmd/daemon/parts.go
+++ b/cmd/daemon/parts.go
@@ -118,11 +118,11 @@
 	return server.Close()
 }
 
-// leaveContext bounds how long the node waits for its peers' goodbyes. On the hosting
-// platform the node has only its grace period: an unreachable peer never responds, and
-// a node that waited for it was killed by the platform before it could send its own
-// goodbyes.
-func (c *components) leaveContext(ctx context.Context) (context.Context, context.CancelFunc) {
+// shutdownContext bounds the shutdown of the HTTP servers and the wait for the peers'
+// goodbyes. On the hosting platform the node has only its grace period: an unreachable
+// peer never responds, and a node that waited for it was killed by the platform before
+// it could send its own goodbyes.
+func (c *components) shutdownContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if c.hosted == nil {
 		return context.WithCancel(ctx)
 	}
@@ -173,12 +173,12 @@
 		case <-ctx.Done():
 		}
 	}
-	leave, cancel := c.leaveContext(ctx)
+	shutdownCtx, cancel := c.shutdownContext(ctx)
 	defer cancel()
 	for _, server := range c.servers {
-		errs = append(errs, c.close(leave, server))
+		errs = append(errs, c.close(shutdownCtx, server))
 	}
-	c.transport.Shutdown(leave)
+	c.transport.Shutdown(shutdownCtx)
 	c.transport.Close()
 	c.loop.Close()
 	c.wait.Wait()
--- a/cmd/daemon/peer.go
+++ b/cmd/daemon/peer.go
@@ -44,7 +44,7 @@
 func (h *peerHandler) PeerConnected(coltsfootward.Instance) {
 	<-h.ready
 	h.metrics.connections.connected()
-	if opened, ok := h.metrics.connections.dueReport(time.Now()); ok {
+	if opened, ok := h.metrics.connections.takeReport(time.Now()); ok {
 		h.reporter.event(record.PeersConnected, "count", strconv.Itoa(opened))
 	}
 }
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -31,11 +31,11 @@
 	header  map[string][]string
 	// refuse writes a refusal in the deployment's format.
 	refuse func(http.ResponseWriter, coltsfootward.Refusal)
-	// retained is set while the response may still be retained for repeated
-	// requests with the same Idempotency-Key; prefix is the part of its body that
-	// has been received.
-	retained bool
-	prefix   []byte
+	// retainable is set while the response may still be retained for repeated
+	// requests with the same Idempotency-Key; retainedBody is the part of its body
+	// that has been received.
+	retainable   bool
+	retainedBody []byte
 	// download is the state of the response that the caller is receiving.
 	download download
 }
@@ -137,7 +137,7 @@
 		response.Close()
 		panic(http.ErrAbortHandler)
 	}
-	e.retained = e.request.Header.Get(HeaderIdempotencyKey) != ""
+	e.retainable = e.request.Header.Get(HeaderIdempotencyKey) != ""
 	complete := e.copyBody(response)
 	if !complete && e.download.resumable() && e.request.Context().Err() == nil {
 		e.handler.loop.Post(node.ResponseTruncated{Call: e.call.ID})
@@ -173,10 +173,10 @@
 // retainedResponse returns the response to retain for repeated requests, or nil if
 // it is incomplete, too large or not to be retained.
 func (e *exchange) retainedResponse(response *peer.Answer, complete bool) *claim.Answer {
-	if !complete || !e.retained {
+	if !complete || !e.retainable {
 		return nil
 	}
-	return &claim.Answer{Status: response.Head.Status, Header: response.Head.Header, Body: e.prefix}
+	return &claim.Answer{Status: response.Head.Status, Header: response.Head.Header, Body: e.retainedBody}
 }
 
 // replay writes the retained response of the first request with the same
@@ -194,13 +194,13 @@
 // retain adds p to the retained body. It discards the body once the size exceeds
 // node.MaximumRetainedAnswerBytes.
 func (e *exchange) retain(p []byte) {
-	if !e.retained {
+	if !e.retainable {
 		return
 	}
-	e.prefix = append(e.prefix, p...)
-	if len(e.prefix) > node.MaximumRetainedAnswerBytes {
-		e.retained = false
-		e.prefix = nil
+	e.retainedBody = append(e.retainedBody, p...)
+	if len(e.retainedBody) > node.MaximumRetainedAnswerBytes {
+		e.retainable = false
+		e.retainedBody = nil
 	}
 }
 
--- a/io/caller/face.go
+++ b/io/caller/face.go
@@ -31,8 +31,8 @@
 	// MaximumBody is the maximum size of a request body in bytes. Zero means
 	// DefaultMaximumBody.
 	MaximumBody int64
-	// Routed, if not nil, has requests routed by host and path. It gives the
-	// names of the header fields to use.
+	// Routed gives the names of the header fields that ServeRouted uses. It may be
+	// nil if ServeRouted is not called.
 	Routed *wire.Fields
 	// Local is set for the handler that serves the local backend server, whose
 	// requests carry a call token instead of a key.
--- a/io/caller/responder.go
+++ b/io/caller/responder.go
@@ -20,9 +20,10 @@
 	previous, done chan struct{}
 	request        *http.Request
 	wroteHeader    bool
-	failed         bool
-	chunked        bool
-	noBody         bool
+	// failed is set once the response can't be written completely.
+	failed  bool
+	chunked bool
+	noBody  bool
 	// remaining is the number of bytes of Content-Length that have not been written;
 	// it is negative if the header has no Content-Length.
 	remaining int64
@@ -167,9 +168,9 @@
 // errCallerDisconnected is returned by Write once the connection has ended.
 var errCallerDisconnected = errors.New("caller: caller disconnected before its response was written: stop writing the response")
 
-// finish writes the end of the response and releases the next one. If the body is
-// shorter than its Content-Length, finish closes the connection, so that the
-// caller does not take the response for a complete one.
+// finish writes the end of the response, after which the next response may be
+// written. If the body is shorter than its Content-Length, finish closes the
+// connection, so that the caller does not take the response for a complete one.
 func (w *responder) finish() {
 	w.WriteHeader(http.StatusOK)
 	if w.failed {
@@ -190,8 +191,8 @@
 	close(w.done)
 }
 
-// abandon releases the next response without writing this one. Since the connection
-// has ended, the following responses are not written either.
+// abandon ends the wait of the next response without writing this one. Since the
+// connection has ended, the following responses are not written either.
 func (w *responder) abandon() {
 	w.failed = true
 	select {
--- a/io/caller/resume.go
+++ b/io/caller/resume.go
@@ -10,7 +10,8 @@
 )
 
 // download is the state of a response that is being sent to the caller. If the
-// response is truncated, the remainder of its body can be requested.
+// response is truncated, the remainder of its body may be requested with another
+// attempt.
 type download struct {
 	// begun is set once the response's head has been sent to the caller.
 	begun bool
--- a/io/caller/routed.go
+++ b/io/caller/routed.go
@@ -86,10 +86,11 @@
 	return r.Host
 }
 
-// EagerIn returns a function for ServerOptions.Eager. It reports whether the
-// request's route permits the request to run twice: if an earlier response closes
-// the connection, the caller sends all requests after it again.
-func EagerIn(configuration func() coltsfootward.Configuration) func(*http.Request) bool {
+// EagerIfRepeatable returns a function for ServerOptions.Eager, which reports whether the
+// request's route permits the request to run twice. A request that is started early
+// may run twice: if the response to a preceding request closes the connection, the
+// caller sends all requests after that one again.
+func EagerIfRepeatable(configuration func() coltsfootward.Configuration) func(*http.Request) bool {
 	return func(r *http.Request) bool {
 		route, ok := configuration().Route(hostOf(r), r.RequestURI)
 		return ok && !route.Unrepeatable
--- a/io/caller/server_conn.go
+++ b/io/caller/server_conn.go
@@ -49,7 +49,8 @@
 	writer  *bufio.Writer
 	ctx     context.Context
 	cancel  context.CancelFunc
-	slots   chan struct{}
+	// slots holds an entry for each pending request and limits their number.
+	slots chan struct{}
 
 	mu sync.Mutex
 	// pending counts the requests that have been read and have no complete
@@ -196,8 +197,8 @@
 	}
 }
 
-// retire has the connection closed after the next response, or at once if no
-// request is pending.
+// retire closes the connection after the next response, or at once if no request is
+// pending.
 func (c *serverConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/document/watch.go
+++ b/io/document/watch.go
@@ -26,7 +26,7 @@
 	awaitInterval = 100 * time.Millisecond
 	idleInterval  = time.Second
 	// missingDocumentDelay is the delay after a read that found no document. The nodes
-	// that follow the document send the first one to the others.
+	// that follow the document send the first document to the others.
 	missingDocumentDelay = 2 * time.Second
 	// readTimeout is the timeout of one read of the full document.
 	readTimeout = 2 * time.Second
--- a/io/operator/change.go
+++ b/io/operator/change.go
@@ -127,7 +127,7 @@
 const lookupTimeout = 3 * time.Second
 
 // waitFor refreshes the configuration until condition is true. It reports false if
-// that is not so within lookupTimeout.
+// condition is still false after lookupTimeout.
 func (s *Service) waitFor(ctx context.Context, condition func(coltsfootward.Configuration) bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -214,8 +214,8 @@
 	if errors.As(err, &conflict) {
 		return connect.NewError(connect.CodeAborted, err)
 	}
-	var doubt *configuration.UnknownOutcomeError
-	if errors.As(err, &doubt) {
+	var unknownOutcome *configuration.UnknownOutcomeError
+	if errors.As(err, &unknownOutcome) {
 		return connect.NewError(connect.CodeUnavailable, err)
 	}
 	return connect.NewError(connect.CodeInternal, err)
--- a/io/operator/watch.go
+++ b/io/operator/watch.go
@@ -50,18 +50,18 @@
 const maximumWaitingFor = 10
 
 func (s *Service) inForce(revision coltsfootward.Revision) (bool, []*coltsfootwardv1.DomainRevision) {
-	var found []node.DomainRevision
-	s.loop.Inspect(func(n *node.Node) { found = n.InForce(revision) })
-	all := len(found) > 0
+	var revisions []node.DomainRevision
+	s.loop.Inspect(func(n *node.Node) { revisions = n.InForce(revision) })
+	allConfirmed := len(revisions) > 0
 	var domains []*coltsfootwardv1.DomainRevision
-	for _, d := range found {
+	for _, d := range revisions {
 		confirmed := d.Revision >= revision
-		all = all && confirmed
+		allConfirmed = allConfirmed && confirmed
 		domain := &coltsfootwardv1.DomainRevision{Domain: string(d.Domain), Revision: uint64(d.Revision), Confirmed: confirmed}
 		for _, id := range d.Behind[:min(len(d.Behind), maximumWaitingFor)] {
 			domain.WaitingFor = append(domain.WaitingFor, string(id))
 		}
 		domains = append(domains, domain)
 	}
-	return all, domains
+	return allConfirmed, domains
 }
--- a/io/upstream/health.go
+++ b/io/upstream/health.go
@@ -26,8 +26,8 @@
 	Ready bool
 	// Slots is the number of requests that the backend server handles concurrently.
 	Slots int
-	// Cold is the remaining time for which the backend server is cold.
-	Cold time.Duration
+	// ColdRemaining is the remaining time for which the backend server is cold.
+	ColdRemaining time.Duration
 }
 
 // CheckHealth sends a health check to the backend server at address. It returns an
@@ -52,7 +52,7 @@
 	id := response.Header.Get(fields.Backend)
 	return Health{
 		ID: id, Ready: response.StatusCode == http.StatusOK && id != "" && slots > 0, Slots: slots,
-		Cold: parseCold(response.Header.Get(fields.Cold)),
+		ColdRemaining: parseCold(response.Header.Get(fields.Cold)),
 	}, nil
 }
 
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -56,10 +56,11 @@
 // ones for reuse.
 type pool struct {
 	address string
-	slots   chan struct{}
+	// slots holds an entry for each connection in use and limits their number.
+	slots chan struct{}
 
 	mu     sync.Mutex
-	free   []*backendConn
+	idle   []*backendConn
 	closed bool
 }
 
@@ -114,29 +115,29 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropExpired(now)
-	if len(p.free) == 0 {
+	if len(p.idle) == 0 {
 		return nil
 	}
-	last := p.free[len(p.free)-1]
+	last := p.idle[len(p.idle)-1]
 	if now.Sub(last.idleSince) > maximumIdle {
 		return nil
 	}
-	p.free = p.free[:len(p.free)-1]
+	p.idle = p.idle[:len(p.idle)-1]
 	return last
 }
 
 // dropExpired closes expired idle connections. The caller must hold p.mu.
 func (p *pool) dropExpired(now time.Time) {
-	kept := p.free[:0]
-	for _, c := range p.free {
+	kept := p.idle[:0]
+	for _, c := range p.idle {
 		if now.Before(c.expires) {
 			kept = append(kept, c)
 			continue
 		}
 		c.conn.Close()
 	}
-	clear(p.free[len(kept):])
-	p.free = kept
+	clear(p.idle[len(kept):])
+	p.idle = kept
 }
 
 // put returns a connection to the pool. The connection is closed unless reusable is
@@ -153,7 +154,7 @@
 	c.idleSince = time.Now()
 	c.expires = c.idleSince.Add(keepAlive)
 	c.reused = true
-	p.free = append(p.free, c)
+	p.idle = append(p.idle, c)
 }
 
 // close closes the idle connections. Those in use are closed by put.
@@ -161,10 +162,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, c := range p.free {
+	for _, c := range p.idle {
 		c.conn.Close()
 	}
-	p.free = nil
+	p.idle = nil
 }
 
 // isUsable reports whether an idle connection is open and has no unread bytes.
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -53,9 +53,9 @@
 	clock   *loop.Clock
 	options Options
 
-	mu      sync.Mutex
-	backend string
-	pool    *pool
+	mu          sync.Mutex
+	backendName string
+	pool        *pool
 }
 
 // New returns a server with default options. It has no backend server until Use or
@@ -91,11 +91,11 @@
 // backend server at the same address are not reused.
 func (s *Server) UseBackend(name, address string, connections int) {
 	s.mu.Lock()
-	if s.backend != name && s.pool != nil {
+	if s.backendName != name && s.pool != nil {
 		s.pool.close()
 		s.pool = nil
 	}
-	s.backend = name
+	s.backendName = name
 	s.mu.Unlock()
 	s.Use(address, connections)
 }
@@ -105,7 +105,7 @@
 func (s *Server) target() (string, *pool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.backend, s.pool
+	return s.backendName, s.pool
 }
 
 // ServeCall handles a call from a peer until its response is complete. It returns
@@ -181,7 +181,7 @@
 }
 
 // run sends the request and relays the response. It reports whether the call has
-// ended; if not, the state machine's refusal or EndAnswer follows.
+// ended; if not, the state machine's Refuse or EndResponse action follows.
 func (d *dispatch) run(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -253,19 +253,19 @@
 }
 
 func (d *dispatch) send(ctx context.Context) (*http.Response, error) {
-	backend, connections := d.server.target()
-	if connections == nil {
+	backendName, connectionPool := d.server.target()
+	if connectionPool == nil {
 		return nil, errors.New("upstream: no backend server has announced itself")
 	}
 	maximumIdle := time.Duration(idleTimeout)
 	if d.action.Unrepeatable {
 		maximumIdle = unrepeatableIdleTimeout
 	}
-	c, err := connections.get(ctx, maximumIdle)
+	c, err := connectionPool.get(ctx, maximumIdle)
 	if err != nil {
 		return nil, err
 	}
-	d.conn, d.pool = c, connections
+	d.conn, d.pool = c, connectionPool
 	// Since the state machine admitted the request, the process may have been paused,
 	// or the request may have waited for a connection. The admission is therefore
 	// checked once more immediately before the first byte is written.
@@ -278,14 +278,14 @@
 	d.stop = stop
 	request := &http.Request{
 		Method: d.head.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL:    &url.URL{Scheme: "http", Host: connections.address, Opaque: d.head.Path},
+		URL:    &url.URL{Scheme: "http", Host: connectionPool.address, Opaque: d.head.Path},
 		Host:   d.head.Host,
 		Header: make(http.Header, len(d.head.Header)+4),
 	}
 	if request.Host == "" {
-		request.Host = connections.address
+		request.Host = connectionPool.address
 	}
-	d.setHeader(request, backend)
+	d.setHeader(request, backendName)
 	response, err := c.roundTrip(request)
 	if err != nil {
 		return nil, err
@@ -293,7 +293,7 @@
 	return response, d.checkHead(response)
 }
 
-func (d *dispatch) setHeader(request *http.Request, backend string) {
+func (d *dispatch) setHeader(request *http.Request, backendName string) {
 	for name, values := range d.head.Header {
 		request.Header[name] = values
 	}
@@ -307,8 +307,8 @@
 		request.Header[fields.Request] = []string{string(d.head.Request)}
 		request.Header[fields.Caller] = []string{string(d.head.Caller)}
 		request.Header[fields.Deadline] = []string{deadline}
-		if backend != "" {
-			request.Header[fields.Expected] = []string{backend}
+		if backendName != "" {
+			request.Header[fields.Expected] = []string{backendName}
 		}
 		if d.head.Organisation != "" {
 			request.Header[fields.Organisation] = []string{string(d.head.Organisation)}
