--- a/change.go
+++ b/change.go
@@ -23,19 +23,20 @@
 // newer than the change stays as it is. Each table that changes is copied once,
 // however many changes there are.
 func (c Configuration) Apply(changes ...Change) Configuration {
-	b := builder{base: c}
+	b := builder{result: c}
 	for _, change := range changes {
-		if change.Revision > b.base.revision {
+		if change.Revision > b.result.revision {
 			b.apply(change)
 		}
 	}
-	return b.base
+	return b.result
 }
 
-// builder applies changes to one copy of a configuration. The flags are set for
-// the tables that have been copied already.
+// builder applies changes to result, which starts as the original configuration. The
+// flags are set for the tables of result that are copies already; the other tables are
+// shared with the original and must not be modified.
 type builder struct {
-	base                          Configuration
+	result                        Configuration
 	organisations, keys, services bool
 }
 
@@ -43,29 +44,29 @@
 	if change.Organisation != nil {
 		o := *change.Organisation
 		o.Revision = change.Revision
-		if b.base.organisations[o.Name].Revision < o.Revision {
-			b.base.organisations = ensureOwned(b.base.organisations, &b.organisations)
-			b.base.organisations[o.Name] = o
+		if b.result.organisations[o.Name].Revision < o.Revision {
+			b.result.organisations = ensureOwned(b.result.organisations, &b.organisations)
+			b.result.organisations[o.Name] = o
 		}
 	}
 	if change.Key != nil {
 		k := *change.Key
 		k.Revision = change.Revision
-		if b.base.keys[k.Digest].Revision < k.Revision {
-			b.base.keys = ensureOwned(b.base.keys, &b.keys)
-			b.base.keys[k.Digest] = keepWithdrawn(b.base.keys, k)
+		if b.result.keys[k.Digest].Revision < k.Revision {
+			b.result.keys = ensureOwned(b.result.keys, &b.keys)
+			b.result.keys[k.Digest] = keepWithdrawn(b.result.keys, k)
 		}
 	}
 	if change.Service != nil {
 		s := *change.Service
 		s.Revision = change.Revision
 		s.Marks = slices.Clone(s.Marks)
-		if b.base.services[s.Name].Revision < s.Revision {
-			b.base.services = ensureOwned(b.base.services, &b.services)
-			b.base.services[s.Name] = s
+		if b.result.services[s.Name].Revision < s.Revision {
+			b.result.services = ensureOwned(b.result.services, &b.services)
+			b.result.services[s.Name] = s
 		}
 	}
-	b.base.revision = change.Revision
+	b.result.revision = change.Revision
 }
 
 // ensureOwned returns a copy of entries and sets owned. If owned is set already, it
--- a/cmd/coltsfootctl/exit.go
+++ b/cmd/coltsfootctl/exit.go
@@ -62,15 +62,16 @@
 		return exitUsage
 	case connect.CodeOf(err) == connect.CodeAborted:
 		return exitConflict
-	case unanswered(err):
+	case outcomeUnknown(err):
 		return exitUnknownOutcome
 	default:
 		return exitFailed
 	}
 }
 
-// unanswered reports whether the error leaves open whether the call was executed.
-func unanswered(err error) bool {
+// outcomeUnknown reports whether the error leaves it unknown whether the call was
+// executed.
+func outcomeUnknown(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeDeadlineExceeded, connect.CodeCanceled:
 		return true
--- a/cmd/coltsfootctl/session.go
+++ b/cmd/coltsfootctl/session.go
@@ -63,9 +63,9 @@
 	if c.ChangeId == "" {
 		c.ChangeId = uuid.NewString()
 	}
-	response, err := s.sendUntilAnswered(c, send)
+	response, err := s.sendWithRetries(c, send)
 	if err != nil {
-		if unanswered(err) {
+		if outcomeUnknown(err) {
 			return &unknownOutcomeError{changeID: c.ChangeId, err: err}
 		}
 		return err
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (s *session) sendUntilAnswered(c *coltsfootwardv1.ChangeContext, send func(*coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error)) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
+func (s *session) sendWithRetries(c *coltsfootwardv1.ChangeContext, send func(*coltsfootwardv1.ChangeContext) (*connect.Response[coltsfootwardv1.ChangeResponse], error)) (*connect.Response[coltsfootwardv1.ChangeResponse], error) {
 	var last error
 	for attempt := range changeAttempts {
 		if attempt > 0 {
@@ -90,7 +90,7 @@
 			}
 		}
 		response, err := send(c)
-		if err == nil || !unanswered(err) {
+		if err == nil || !outcomeUnknown(err) {
 			return response, err
 		}
 		last = err
--- a/cmd/explain/search.go
+++ b/cmd/explain/search.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// recentLines is how many lines about requests a search by kind keeps, so that it
-	// has the lines that precede the refusal that selects the request.
+	// recentLines is how many lines about requests a search by kind keeps, because the
+	// refusal that selects the request comes after other lines of that request.
 	recentLines = 100_000
 	// maximumDrops bounds the reports of dropped lines that a search keeps.
 	maximumDrops = 100_000
--- a/configuration.go
+++ b/configuration.go
@@ -75,7 +75,7 @@
 	Timeout time.Duration `msgpack:"timeout" json:"timeout"`
 	// HealthPath is the path of the health check of the service's backend
 	// servers. Connections is the number of connections that each of them accepts.
-	// Both are set in hosted deployments.
+	// Both are set in hosted deployments only.
 	HealthPath  string `msgpack:"health_path,omitempty" json:"health_path,omitempty"`
 	Connections int    `msgpack:"connections,omitempty" json:"connections,omitempty"`
 	// ColdRate is the number of requests per second that each backend server of
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -13,19 +13,19 @@
 	Address string
 	// Slots is the number of requests that the backend server handles at once.
 	Slots int
-	// ColdRemaining is the remaining time for which the backend server is slow after its
-	// start.
+	// ColdRemaining is the remaining time for which the backend server is cold, that is,
+	// slow after its start.
 	ColdRemaining time.Duration
 	// StartedAt is the time at which the backend server started, by its own wall
 	// clock. It differs between the runs of one server.
 	StartedAt time.Time
 	// Sequence numbers the heartbeats of one run.
 	Sequence uint64
-	// State tells whether the backend server accepts new requests.
+	// State reports whether the backend server accepts new requests.
 	State BackendState
 }
 
-// BackendState tells whether a backend server accepts new requests.
+// BackendState reports whether a backend server accepts new requests.
 type BackendState string
 
 // The states of a backend server.
--- a/identity.go
+++ b/identity.go
@@ -19,7 +19,8 @@
 // RequestID identifies a caller's request throughout its call chain.
 type RequestID string
 
-// Incarnation orders the runs of one instance; a later run has a higher one.
+// Incarnation orders the runs of one instance; a later run has a higher
+// incarnation.
 type Incarnation uint64
 
 // Revision is the number of accepted configuration changes. Revision zero is the
--- a/refusal.go
+++ b/refusal.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Execution tells a caller whether its request ran at a backend server.
+// Execution reports to a caller whether its request ran at a backend server.
 type Execution string
 
 // The values of Execution.
@@ -82,8 +82,8 @@
 	RefusalCancelled:       {499, "the caller has left; nothing is to be done"},
 }
 
-// RefusalKinds returns the HTTP status of every kind. The test of the documentation
-// compares the documented kinds with it.
+// RefusalKinds returns the HTTP status of every kind. A test compares the result with
+// the kinds in the documentation.
 func RefusalKinds() map[RefusalKind]int {
 	kinds := make(map[RefusalKind]int, len(refusalTexts))
 	for kind, text := range refusalTexts {
@@ -123,7 +123,7 @@
 	return r
 }
 
-// WithRetryAfter returns a copy that tells the caller to retry after d.
+// WithRetryAfter returns a copy that asks the caller to wait for d before it retries.
 func (r Refusal) WithRetryAfter(d time.Duration) Refusal {
 	r.RetryAfter = d
 	return r
--- a/route.go
+++ b/route.go
@@ -58,8 +58,8 @@
 // hostRoutes are the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]Route
-	// longestPrefix is the length of the longest prefix in bytes. A look-up tries
-	// no longer one.
+	// longestPrefix is the length of the longest prefix in bytes. Look-ups ignore the
+	// part of a path beyond it.
 	longestPrefix int
 }
 
