--- a/cmd/settings/settings_test.go
+++ b/cmd/settings/settings_test.go
@@ -145,7 +145,8 @@
 }
 
 // docs/OPERATIONS.md lists every setting. After a change of the table of fields, replace
-// the text between the page's marks with the text that this test prints.
+// the text between the page's two comments "settings" and "end of settings" with the
+// text that this test prints.
 func TestOperationsPageListsEverySetting(t *testing.T) {
 	var want strings.Builder
 	want.WriteString("| Setting | Unit | Default | Range | Meaning |\n|---|---|---|---|---|\n")
@@ -159,7 +160,7 @@
 	_, rest, _ := strings.Cut(string(page), "<!-- settings -->\n")
 	got, _, _ := strings.Cut(rest, "<!-- end of settings -->")
 	if got != want.String() {
-		t.Errorf("got another table in docs/OPERATIONS.md, want between its marks:\n%s", want.String())
+		t.Errorf("got another table in docs/OPERATIONS.md, want between its two comments:\n%s", want.String())
 	}
 }
 
--- a/io/caller/bench_test.go
+++ b/io/caller/bench_test.go
@@ -45,9 +45,9 @@
 	defer client.CloseIdleConnections()
 	times := make([]time.Duration, 0, b.N)
 	b.ReportAllocs()
-	began := processorTime(b)
+	cpuAtStart := cpuTime(b)
 	for b.Loop() {
-		begun := time.Now()
+		started := time.Now()
 		request, err := http.NewRequest(http.MethodGet, url, nil)
 		if err != nil {
 			b.Fatal(err)
@@ -62,17 +62,17 @@
 		if err != nil || n != int64(len(benchBody)) {
 			b.Fatalf("got %d bytes, status %d and %v", n, response.StatusCode, err)
 		}
-		times = append(times, time.Since(begun))
+		times = append(times, time.Since(started))
 	}
-	b.ReportMetric(float64((processorTime(b)-began).Microseconds())/float64(len(times)), "µs-cpu/op")
+	b.ReportMetric(float64((cpuTime(b)-cpuAtStart).Microseconds())/float64(len(times)), "µs-cpu/op")
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Microseconds()), "µs-p50")
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "µs-p99")
 }
 
-// processorTime returns the processor time used by the process. Unlike elapsed time,
+// cpuTime returns the CPU time used by the process. Unlike elapsed time,
 // it does not grow with the load of other processes on the machine.
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
--- a/io/caller/key_test.go
+++ b/io/caller/key_test.go
@@ -141,14 +141,14 @@
 	if peers.text() == "" || upstreams.text() == "" {
 		t.Fatal("no bytes were recorded: the connections are not wrapped")
 	}
-	for place, text := range map[string]string{
+	for where, text := range map[string]string{
 		"frames between nodes":         peers.text(),
 		"requests to backend servers":  upstreams.text(),
 		"records of the entry node":    fmt.Sprint(north.Records()),
 		"records of the upstream node": fmt.Sprint(south.Records()),
 	} {
 		if strings.Contains(strings.ToLower(text), secret) {
-			t.Errorf("%s contain the key", place)
+			t.Errorf("%s contain the key", where)
 		}
 	}
 }
--- a/io/caller/resume_test.go
+++ b/io/caller/resume_test.go
@@ -67,22 +67,22 @@
 	for _, test := range []struct {
 		name, tag, laterTag string
 		modified            time.Time
-		ranges, whole       bool
-		breaks              int32
-		after               int
+		ranges, complete    bool
+		aborts              int32
+		abortAfter          int
 		later               []byte
 	}{
-		{name: "strong tag", tag: `"v1"`, laterTag: `"v1"`, ranges: true, breaks: 1, later: log, whole: true},
-		{name: "breaks twice", tag: `"v1"`, laterTag: `"v1"`, ranges: true, breaks: 2, later: log, whole: true},
-		{name: "old date", modified: old, ranges: true, breaks: 1, later: log, whole: true},
-		{name: "young date", modified: time.Now(), ranges: true, breaks: 1, later: log},
-		{name: "weak tag", tag: `W/"v1"`, laterTag: `W/"v1"`, ranges: true, breaks: 1, later: log},
-		{name: "changed meanwhile", tag: `"v1"`, laterTag: `"v2"`, ranges: true, breaks: 1, later: other},
-		{name: "no ranges", tag: `"v1"`, laterTag: `"v1"`, breaks: 1, later: log},
-		{name: "breaks for ever", tag: `"v1"`, laterTag: `"v1"`, ranges: true, breaks: 1000, after: 50_000, later: log},
+		{name: "strong tag", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1, later: log, complete: true},
+		{name: "breaks twice", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 2, later: log, complete: true},
+		{name: "old date", modified: old, ranges: true, aborts: 1, later: log, complete: true},
+		{name: "young date", modified: time.Now(), ranges: true, aborts: 1, later: log},
+		{name: "weak tag", tag: `W/"v1"`, laterTag: `W/"v1"`, ranges: true, aborts: 1, later: log},
+		{name: "changed meanwhile", tag: `"v1"`, laterTag: `"v2"`, ranges: true, aborts: 1, later: other},
+		{name: "no ranges", tag: `"v1"`, laterTag: `"v1"`, aborts: 1, later: log},
+		{name: "breaks for ever", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1000, abortAfter: 50_000, later: log},
 	} {
-		if test.after == 0 {
-			test.after = 300_000
+		if test.abortAfter == 0 {
+			test.abortAfter = 300_000
 		}
 		t.Run(test.name, func(t *testing.T) {
 			var served atomic.Int32
@@ -95,8 +95,8 @@
 				if tag != "" {
 					w.Header().Set("ETag", tag)
 				}
-				if number <= test.breaks {
-					w = &abortingWriter{ResponseWriter: w, remaining: test.after}
+				if number <= test.aborts {
+					w = &abortingWriter{ResponseWriter: w, remaining: test.abortAfter}
 				}
 				if !test.ranges {
 					w.Header().Set("Content-Length", strconv.Itoa(len(content)))
@@ -109,9 +109,9 @@
 			switch {
 			case err == nil && !bytes.Equal(body, log):
 				t.Errorf("got a complete body of %d bytes that differs from the log of %d bytes", len(body), len(log))
-			case err == nil && !test.whole:
+			case err == nil && !test.complete:
 				t.Error("got the complete log, want the download aborted")
-			case err != nil && test.whole:
+			case err != nil && test.complete:
 				t.Errorf("got %v after %d bytes and %d attempts, want the complete log", err, len(body), served.Load())
 			}
 			if got := served.Load(); got > node.DefaultAttempts {
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -127,7 +127,7 @@
 // handled. The handler's context must be cancelled at once: work for a caller that
 // has disconnected uses capacity that waiting requests need.
 func TestDisconnectIsDetectedWithUnreadRequests(t *testing.T) {
-	left := make(chan struct{})
+	cancelled := make(chan struct{})
 	began := make(chan struct{})
 	handler := func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/1" {
@@ -135,14 +135,14 @@
 		}
 		close(began)
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	}
 	_, c := serve(t, handler, caller.ServerOptions{})
 	send(t, c, getRequest("/1")+getRequest("/2"))
 	<-began
 	c.Close()
 	select {
-	case <-left:
+	case <-cancelled:
 	case <-time.After(serverTimeout):
 		t.Error("the handler's context was not cancelled after the caller had disconnected")
 	}
@@ -255,7 +255,7 @@
 	handler := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 	limits := func() coltsfootward.Limits { return coltsfootward.Limits{IdleTimeout: 4 * time.Second} }
 	_, c := serve(t, handler, caller.ServerOptions{Limits: limits})
-	ask := func(c net.Conn) string {
+	requestKeepAlive := func(c net.Conn) string {
 		send(t, c, getRequest("/urea"))
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
@@ -263,7 +263,7 @@
 		}
 		return response.Header.Get("Keep-Alive")
 	}
-	if got := ask(c); got != "" {
+	if got := requestKeepAlive(c); got != "" {
 		t.Errorf("one connection: got Keep-Alive %q, want none", got)
 	}
 	var others []net.Conn
@@ -279,8 +279,8 @@
 		others = append(others, o)
 	}
 	last := others[len(others)-1]
-	ask(others[0])
-	if got := ask(last); got != "timeout=1" {
+	requestKeepAlive(others[0])
+	if got := requestKeepAlive(last); got != "timeout=1" {
 		t.Fatalf("300 connections: got Keep-Alive %q, want timeout=1", got)
 	}
 	began := time.Now()
@@ -290,7 +290,7 @@
 	if took := time.Since(began); took < time.Second || took > 2500*time.Millisecond {
 		t.Errorf("the connection was closed after %v, want 1 s to 2.5 s", took)
 	}
-	if got := ask(c); got != "timeout=1" {
+	if got := requestKeepAlive(c); got != "timeout=1" {
 		t.Errorf("the first connection: got Keep-Alive %q, want timeout=1", got)
 	}
 }
--- a/io/document/watch_test.go
+++ b/io/document/watch_test.go
@@ -11,12 +11,12 @@
 	"coltsfootward/io/document"
 )
 
-// source counts calls. Its document has the given revision; with revision zero there is
-// no document.
+// source counts the calls of its methods. Its document has the given revision; with
+// revision zero there is no document.
 type source struct {
-	mu             sync.Mutex
-	revision       coltsfootward.Revision
-	reads, changes int
+	mu           sync.Mutex
+	revision     coltsfootward.Revision
+	reads, waits int
 }
 
 func (s *source) Read(context.Context) (coltsfootward.Document, error) {
@@ -31,7 +31,7 @@
 
 func (s *source) WaitForChange(ctx context.Context, last coltsfootward.Document) (coltsfootward.Document, error) {
 	s.mu.Lock()
-	s.changes++
+	s.waits++
 	s.mu.Unlock()
 	<-ctx.Done()
 	return last, ctx.Err()
@@ -40,15 +40,15 @@
 func (s *source) calls() (reads, changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reads, s.changes
+	return s.reads, s.waits
 }
 
-func watch(t *testing.T, s *source, duty node.DocumentTask, d time.Duration) (reads, changes, found int) {
+func watch(t *testing.T, s *source, task node.DocumentTask, d time.Duration) (reads, changes, found int) {
 	t.Helper()
 	var mu sync.Mutex
 	w := document.New(document.Options{
 		Source: s,
-		Task:   func() node.DocumentTask { return duty },
+		Task:   func() node.DocumentTask { return task },
 		OnDocument: func(d coltsfootward.Document) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -69,14 +69,14 @@
 
 func TestNoCallsWithoutTask(t *testing.T) {
 	if reads, changes, _ := watch(t, &source{revision: 1}, node.DocumentNone, 300*time.Millisecond); reads+changes > 0 {
-		t.Errorf("got %d reads and %d follows, want none", reads, changes)
+		t.Errorf("got %d reads and %d waits for a change, want none", reads, changes)
 	}
 }
 
 func TestFollowerReadsOnce(t *testing.T) {
 	reads, changes, found := watch(t, &source{revision: 1}, node.DocumentFollow, 300*time.Millisecond)
 	if reads != 1 || changes != 1 || found != 1 {
-		t.Errorf("got %d reads, %d follows and %d documents, want one of each", reads, changes, found)
+		t.Errorf("got %d reads, %d waits for a change and %d documents, want one of each", reads, changes, found)
 	}
 }
 
@@ -84,6 +84,6 @@
 // stored none.
 func TestReadOfMissingDocumentIsDelayed(t *testing.T) {
 	if reads, changes, _ := watch(t, &source{}, node.DocumentRead, 500*time.Millisecond); reads != 1 || changes != 0 {
-		t.Errorf("got %d reads and %d follows in half a second, want one read", reads, changes)
+		t.Errorf("got %d reads and %d waits for a change in half a second, want one read", reads, changes)
 	}
 }
--- a/io/upstream/outcome_test.go
+++ b/io/upstream/outcome_test.go
@@ -167,8 +167,8 @@
 }
 
 // The backend server fails at some point of the exchange while it handles an order.
-// If the caller is told "not run" after a byte of the request was sent, it sends the
-// order again, and the order may run twice. If the caller is told nothing, the order
+// If the caller receives "not run" after a byte of the request was sent, it sends the
+// order again, and the order may run twice. If the caller receives no outcome, the order
 // is lost.
 func TestOutcomeForEachFailurePoint(t *testing.T) {
 	const unknown, notRun = string(coltsfootward.ExecutionUnknown), string(coltsfootward.ExecutionNotRun)
