--- a/cmd/daemon/exposition.go
+++ b/cmd/daemon/exposition.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maximumLatency is the highest latency that the histograms record, in
+	// maximumLatencyMicroseconds is the highest latency that the histograms record, in
 	// microseconds. Higher ones are recorded as this value.
-	maximumLatency = int64(time.Minute / time.Microsecond)
+	maximumLatencyMicroseconds = int64(time.Minute / time.Microsecond)
 	// latencyDigits is the histograms' precision in significant digits. Two digits
 	// need about 20 KB of memory per histogram.
 	latencyDigits = 2
@@ -29,14 +29,14 @@
 
 func newLatencies() latencies {
 	return latencies{
-		answered: hdrhistogram.New(1, maximumLatency, latencyDigits),
-		refused:  hdrhistogram.New(1, maximumLatency, latencyDigits),
+		answered: hdrhistogram.New(1, maximumLatencyMicroseconds, latencyDigits),
+		refused:  hdrhistogram.New(1, maximumLatencyMicroseconds, latencyDigits),
 	}
 }
 
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	// RecordValue fails only for values outside the histogram's bounds.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), maximumLatency))
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maximumLatencyMicroseconds))
 }
 
 // quantiles are the exposed quantiles of each histogram, in percent.
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -46,7 +46,7 @@
 // complete. A response that is truncated before that counts as a failed attempt,
 // and a request that may run twice is sent to another backend server; otherwise its
 // caller would receive a truncated response. A response that is complete by then is
-// sent together with its end.
+// sent together with its ResponseEnd.
 func (d *dispatch) relay(ctx context.Context, response *http.Response, cancel context.CancelFunc) node.DispatchKind {
 	reusable := d.reusable
 	d.reusable = false
@@ -101,15 +101,15 @@
 	return errors.Is(err, io.EOF)
 }
 
-// completeResponse is a buffered response that is to be sent with its end.
+// completeResponse is a buffered response that is to be sent with its ResponseEnd.
 type completeResponse struct {
 	status int
 	header map[string][]string
 	body   []byte
 }
 
-// sendEnd sends the end of the response, together with the response itself if it is
-// buffered. Errors are ignored, since the entry node may have disconnected.
+// sendEnd sends the ResponseEnd, together with the response itself if that is buffered.
+// Errors are ignored, since the entry node may have disconnected.
 func (d *dispatch) sendEnd(a node.EndResponse) {
 	end := message.ResponseEnd{Attempts: a.Attempts, Needed: a.Needed}
 	if d.buffered == nil {
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -140,8 +140,9 @@
 	p.idle = kept
 }
 
-// put returns a connection to the pool. The connection is closed unless reusable is
-// set; otherwise it expires after keepAlive.
+// put ends the use of a connection. If reusable is set, the connection stays in the
+// pool and expires after keepAlive; otherwise it is closed. A connection with unread
+// bytes is always closed, and so is every connection once the pool is closed.
 func (p *pool) put(c *backendConn, reusable bool, keepAlive time.Duration) {
 	<-p.slots
 	c.conn.gate.Store(nil)
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -171,7 +171,8 @@
 	// stop prevents the connection from being closed when the context ends. It
 	// reports false if that has happened already.
 	stop func() bool
-	// buffered is the complete response if it is to be sent with its end, else nil.
+	// buffered is the complete response if it is to be sent with its ResponseEnd, else
+	// nil.
 	buffered *completeResponse
 	// failed is set if the response has a status of 500 or more.
 	failed bool
