--- a/cmd/coltsload/emulate.go
+++ b/cmd/coltsload/emulate.go
@@ -50,7 +50,7 @@
 
 // trouble validates the flags and converts them to an emulation.Trouble. The flags
 // library checks their types only.
-func (c *emulate) trouble(d emulation.Deployment) (emulation.Trouble, error) {
+func (c *emulate) trouble(d emulation.Deployment) (emulation.Disturbance, error) {
 	service := d.Services[len(d.Services)-1]
 	found := c.Service == ""
 	for _, s := range d.Services {
@@ -60,19 +60,19 @@
 	}
 	switch {
 	case !found:
-		return emulation.Trouble{}, fmt.Errorf("coltsload: deployment %s has no service %q: leave --service out for %s", d.Name, c.Service, service.Name)
+		return emulation.Disturbance{}, fmt.Errorf("coltsload: deployment %s has no service %q: leave --service out for %s", d.Name, c.Service, service.Name)
 	case c.Duration < time.Second || c.Duration > time.Hour:
-		return emulation.Trouble{}, errors.New("coltsload: --duration must be from 1s to 1h")
+		return emulation.Disturbance{}, errors.New("coltsload: --duration must be from 1s to 1h")
 	case c.Burst < 0 || c.Burst > 100:
-		return emulation.Trouble{}, errors.New("coltsload: --burst must be from 0 to 100")
+		return emulation.Disturbance{}, errors.New("coltsload: --burst must be from 0 to 100")
 	case c.Lost < 0 || c.Lost > service.Upstreams:
-		return emulation.Trouble{}, fmt.Errorf("coltsload: --lost must be from 0 to the service's %d backend servers", service.Upstreams)
+		return emulation.Disturbance{}, fmt.Errorf("coltsload: --lost must be from 0 to the service's %d backend servers", service.Upstreams)
 	case c.Rejects < 0 || c.Rejects > 1 || c.Fails < 0 || c.Fails > 1:
-		return emulation.Trouble{}, errors.New("coltsload: --rejects and --fails must be from 0 to 1")
+		return emulation.Disturbance{}, errors.New("coltsload: --rejects and --fails must be from 0 to 1")
 	}
 	span := emulation.Span{From: troubleStart, To: troubleStart + c.For}
-	return emulation.Trouble{
-		Burst: c.Burst, BurstSpan: span, Service: service.Name, Lost: c.Lost, LostAt: troubleStart,
-		Rejects: c.Rejects, RejectSpan: span, Fails: c.Fails, FailSpan: span,
+	return emulation.Disturbance{
+		Burst: c.Burst, BurstSpan: span, Service: service.Name, LostServers: c.Lost, LostAt: troubleStart,
+		RejectShare: c.Rejects, RejectSpan: span, FailShare: c.Fails, FailSpan: span,
 	}, nil
 }
--- a/cmd/coltsload/emulate_test.go
+++ b/cmd/coltsload/emulate_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	got, err := (&emulate{Duration: time.Second, Burst: 2, Lost: 1}).trouble(emulation.Consortium())
-	if err != nil || got.Service != "sections" || got.Lost != 1 {
+	if err != nil || got.Service != "sections" || got.LostServers != 1 {
 		t.Errorf("got %+v and %v, want the loss of one server of the deepest service", got, err)
 	}
 }
--- a/cmd/daemon/hosted.go
+++ b/cmd/daemon/hosted.go
@@ -66,7 +66,7 @@
 	current atomic.Pointer[coltsfootward.Configuration]
 
 	mu             sync.Mutex
-	backendMachine backend.Machine
+	backendMachine backend.Tracker
 }
 
 // startHosted serves the listeners of a hosted deployment and starts watching its
@@ -149,11 +149,11 @@
 func (h *hosted) Heartbeat(heartbeat coltsfootward.Heartbeat) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	switch h.backendMachine.Take(heartbeat) {
+	switch h.backendMachine.Apply(heartbeat) {
 	case backend.VerdictForeign:
 		h.components.reporter.event(record.HeartbeatRefused, "backend", heartbeat.ID)
 		return false
-	case backend.VerdictOld:
+	case backend.VerdictStale:
 		return true
 	default:
 		return h.announceBackend()
@@ -169,7 +169,7 @@
 	if connections <= 0 {
 		connections = defaultConnectionsPerSlot * max(current.Slots, 1)
 	}
-	h.upstream.UseBackend(current.ID, h.components.settings.Backend.Address, connections)
+	h.upstream.SetNamedBackend(current.ID, h.components.settings.Backend.Address, connections)
 	h.components.loop.Post(node.BackendAnnounced{
 		Service:  coltsfootward.ServiceName(h.components.settings.Backend.Service),
 		Slots:    current.Slots,
--- a/cmd/daemon/peer.go
+++ b/cmd/daemon/peer.go
@@ -27,7 +27,7 @@
 }
 
 // ServeCall implements peer.Handler.
-func (h *peerHandler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (h *peerHandler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	<-h.ready
 	h.upstream.ServeCall(ctx, call, w)
 }
--- a/cmd/soak/soak.go
+++ b/cmd/soak/soak.go
@@ -269,7 +269,7 @@
 		r.changeConfiguration()
 		if r.source.IntN(3) == 0 {
 			r.countFault("store forgets its history")
-			r.fleet.store.Forget()
+			r.fleet.store.DropHistory()
 		}
 	}
 }
--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -13,13 +13,13 @@
 
 // The verdicts.
 const (
-	// VerdictTaken means that the heartbeat is the newest one of the backend
+	// VerdictAccepted means that the heartbeat is the newest one of the backend
 	// server and now determines its state.
-	VerdictTaken Verdict = "taken"
-	// VerdictOld means that the heartbeat is stale: a later one of the same
+	VerdictAccepted Verdict = "taken"
+	// VerdictStale means that the heartbeat is stale: a later one of the same
 	// start was accepted before, its start has announced its end, or it
 	// announces the end of a server that is not the current one.
-	VerdictOld Verdict = "old"
+	VerdictStale Verdict = "old"
 	// VerdictForeign means that the heartbeat belongs to a backend server other
 	// than the one beside this node, or to an earlier start.
 	VerdictForeign Verdict = "foreign"
@@ -30,14 +30,14 @@
 // steps are a few seconds.
 const startSkew = 10 * time.Second
 
-// Machine tracks the state of the backend server beside one node by its
+// Tracker tracks the state of the backend server beside one node by its
 // heartbeats. The zero value has accepted no heartbeat and accepts any. It is
 // not safe for concurrent use.
 //
-// Machine rejects heartbeats that were delayed on their way or come from
+// Tracker rejects heartbeats that were delayed on their way or come from
 // another server. Accepting one would route requests to a server that has
 // ended, or stop requests to a healthy one.
-type Machine struct {
+type Tracker struct {
 	// Service and Address must match those in a heartbeat; an empty value
 	// matches any.
 	Service coltsfootward.ServiceName
@@ -53,10 +53,10 @@
 }
 
 // Current returns the state of the backend server, or false if none is known.
-func (m *Machine) Current() (coltsfootward.Heartbeat, bool) { return m.current, m.known }
+func (m *Tracker) Current() (coltsfootward.Heartbeat, bool) { return m.current, m.known }
 
-// Take checks a heartbeat and applies it if it is accepted.
-func (m *Machine) Take(h coltsfootward.Heartbeat) Verdict {
+// Apply checks a heartbeat and applies it if it is accepted.
+func (m *Tracker) Apply(h coltsfootward.Heartbeat) Verdict {
 	if h.State == coltsfootward.BackendGone {
 		return m.applyEnd(h)
 	}
@@ -64,7 +64,7 @@
 		return VerdictForeign
 	}
 	if m.isFromEndedStart(h) {
-		return VerdictOld
+		return VerdictStale
 	}
 	if m.fromHealthCheck {
 		m.fromHealthCheck = false
@@ -78,20 +78,20 @@
 	}
 	m.current = h
 	m.known = true
-	return VerdictTaken
+	return VerdictAccepted
 }
 
-func (m *Machine) matches(h coltsfootward.Heartbeat) bool {
+func (m *Tracker) matches(h coltsfootward.Heartbeat) bool {
 	return (m.Service == "" || h.Service == m.Service) && (m.Address == "" || h.Address == m.Address)
 }
 
-func (m *Machine) isSameStart(h coltsfootward.Heartbeat) bool {
+func (m *Tracker) isSameStart(h coltsfootward.Heartbeat) bool {
 	return h.ID == m.current.ID && h.StartedAt.Equal(m.current.StartedAt)
 }
 
 // isLaterStart reports whether a heartbeat belongs to a later start than the
 // current one.
-func (m *Machine) isLaterStart(h coltsfootward.Heartbeat) bool {
+func (m *Tracker) isLaterStart(h coltsfootward.Heartbeat) bool {
 	if h.StartedAt.IsZero() || m.current.StartedAt.IsZero() {
 		return h.ID != m.current.ID
 	}
@@ -101,15 +101,15 @@
 // applyNext applies a further heartbeat of the current start. A server that has
 // announced that it leaves never becomes ready again within the same start, so
 // a later "ready" is a delayed heartbeat.
-func (m *Machine) applyNext(h coltsfootward.Heartbeat) Verdict {
+func (m *Tracker) applyNext(h coltsfootward.Heartbeat) Verdict {
 	if h.Sequence <= m.current.Sequence || m.current.State != coltsfootward.BackendReady && h.State == coltsfootward.BackendReady {
-		return VerdictOld
+		return VerdictStale
 	}
 	if m.current.State == coltsfootward.BackendGone {
-		return VerdictOld
+		return VerdictStale
 	}
 	m.current = h
-	return VerdictTaken
+	return VerdictAccepted
 }
 
 // isFromEndedStart reports whether a heartbeat belongs to a start that has
@@ -117,7 +117,7 @@
 // The current state is not enough to detect this: after a health check, which
 // reports no start time, any heartbeat would be accepted as that of a new
 // start, and requests would go to a server whose end has been acknowledged.
-func (m *Machine) isFromEndedStart(h coltsfootward.Heartbeat) bool {
+func (m *Tracker) isFromEndedStart(h coltsfootward.Heartbeat) bool {
 	if h.StartedAt.IsZero() || m.lastEnded.StartedAt.IsZero() {
 		return false
 	}
@@ -130,19 +130,19 @@
 // applyEnd processes a heartbeat by which a backend server announces its end.
 // The end of another server than the current one changes nothing, unless that
 // server is known to have started later: then the current one has ended, too.
-func (m *Machine) applyEnd(h coltsfootward.Heartbeat) Verdict {
+func (m *Tracker) applyEnd(h coltsfootward.Heartbeat) Verdict {
 	if !h.StartedAt.Before(m.lastEnded.StartedAt) {
 		m.lastEnded = h
 	}
 	if !m.known {
 		m.current = h
 		m.known = true
-		return VerdictTaken
+		return VerdictAccepted
 	}
 	current := m.current.StartedAt
 	newer := !h.StartedAt.IsZero() && !current.IsZero() && h.StartedAt.After(current)
 	if !newer && (h.ID != m.current.ID || !h.StartedAt.IsZero() && h.StartedAt.Before(current)) {
-		return VerdictOld
+		return VerdictStale
 	}
 	m.fromHealthCheck = false
 	m.current.ID = h.ID
@@ -150,14 +150,14 @@
 	if !h.StartedAt.IsZero() {
 		m.current.StartedAt = h.StartedAt
 	}
-	return VerdictTaken
+	return VerdictAccepted
 }
 
 // Recover applies the result of a health check after a node's start: the
 // backend server's name, and whether it accepts requests. It is ignored and
 // returns false once a heartbeat or a health check has been accepted, or if the
 // service or address does not match.
-func (m *Machine) Recover(h coltsfootward.Heartbeat) bool {
+func (m *Tracker) Recover(h coltsfootward.Heartbeat) bool {
 	if m.known || !m.matches(h) {
 		return false
 	}
--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -26,13 +26,13 @@
 	gone     = coltsfootward.BackendGone
 )
 
-func newMachine() *backend.Machine {
-	return &backend.Machine{Service: "quotes", Address: "10.0.0.1:80"}
+func newMachine() *backend.Tracker {
+	return &backend.Tracker{Service: "quotes", Address: "10.0.0.1:80"}
 }
 
-func expectVerdict(t *testing.T, m *backend.Machine, h coltsfootward.Heartbeat, want backend.Verdict) {
+func expectVerdict(t *testing.T, m *backend.Tracker, h coltsfootward.Heartbeat, want backend.Verdict) {
 	t.Helper()
-	if got := m.Take(h); got != want {
+	if got := m.Apply(h); got != want {
 		t.Fatalf("heartbeat %+v: got %s, want %s", h, got, want)
 	}
 }
@@ -46,8 +46,8 @@
 	if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
 		t.Fatal("health check not accepted")
 	}
-	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", 0, 8, draining), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", 0, 8, draining), backend.VerdictAccepted)
 }
 
 // A backend server announces that it drains, and an earlier heartbeat arrives
@@ -55,10 +55,10 @@
 // about to end.
 func TestDelayedReadyDoesNotUndoDraining(t *testing.T) {
 	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", 0, 7, draining), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictOld)
-	expectVerdict(t, m, heartbeat("a", 0, 8, ready), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", 0, 7, draining), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictStale)
+	expectVerdict(t, m, heartbeat("a", 0, 8, ready), backend.VerdictStale)
 	if h, _ := m.Current(); h.State != draining {
 		t.Fatalf("state is %s, want draining", h.State)
 	}
@@ -69,10 +69,10 @@
 // arrives, which has ended.
 func TestEarlierStartIsForeign(t *testing.T) {
 	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("b", 30*time.Second, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("b", 30*time.Second, 1, ready), backend.VerdictAccepted)
 	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictForeign)
-	expectVerdict(t, m, heartbeat("a", 0, 7, gone), backend.VerdictOld)
+	expectVerdict(t, m, heartbeat("a", 0, 7, gone), backend.VerdictStale)
 	if h, _ := m.Current(); h.ID != "b" || h.State != ready {
 		t.Fatalf("current is %+v, want b, ready", h)
 	}
@@ -82,18 +82,18 @@
 // over and must not count as old.
 func TestRestartUnderSameNameIsAccepted(t *testing.T) {
 	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 90, ready), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 90, ready), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictAccepted)
 }
 
 // A server that announces its end without draining first is gone, and a later
 // heartbeat of the same start does not make it ready again.
 func TestGoneIsFinal(t *testing.T) {
 	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", 0, 6, gone), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictOld)
-	expectVerdict(t, m, heartbeat("b", time.Second, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", 0, 6, gone), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictStale)
+	expectVerdict(t, m, heartbeat("b", time.Second, 1, ready), backend.VerdictAccepted)
 }
 
 // A heartbeat of another sender has a service or an address that does not match
@@ -125,11 +125,11 @@
 		if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
 			t.Fatal("health check not accepted")
 		}
-		expectVerdict(t, m, heartbeat("a", 0, 8, gone), backend.VerdictTaken)
-		if got := m.Take(delayed); got == backend.VerdictTaken {
+		expectVerdict(t, m, heartbeat("a", 0, 8, gone), backend.VerdictAccepted)
+		if got := m.Apply(delayed); got == backend.VerdictAccepted {
 			t.Errorf("delayed %+v: got %s", delayed, got)
 		}
-		expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictTaken)
+		expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictAccepted)
 		if h, _ := m.Current(); h.State != ready {
 			t.Errorf("after a new start: state is %s, want ready", h.State)
 		}
@@ -145,10 +145,10 @@
 	if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
 		t.Fatal("health check not accepted")
 	}
-	expectVerdict(t, m, heartbeat("a", 0, 9, ready), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", time.Minute, 4, gone), backend.VerdictTaken)
-	expectVerdict(t, m, heartbeat("a", time.Minute, 3, ready), backend.VerdictOld)
-	expectVerdict(t, m, heartbeat("a", 2*time.Minute, 1, ready), backend.VerdictTaken)
+	expectVerdict(t, m, heartbeat("a", 0, 9, ready), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", time.Minute, 4, gone), backend.VerdictAccepted)
+	expectVerdict(t, m, heartbeat("a", time.Minute, 3, ready), backend.VerdictStale)
+	expectVerdict(t, m, heartbeat("a", 2*time.Minute, 1, ready), backend.VerdictAccepted)
 }
 
 // Heartbeats of several starts of a server arrive in any order, at a node that
@@ -183,8 +183,8 @@
 		var latestLeaving, newest time.Time
 		for i, h := range all {
 			_, wasKnown := m.Current()
-			verdict := m.Take(h)
-			if h.State == ready && h.StartedAt.After(newest) && verdict != backend.VerdictTaken {
+			verdict := m.Apply(h)
+			if h.State == ready && h.StartedAt.After(newest) && verdict != backend.VerdictAccepted {
 				t.Fatalf("seed %d, heartbeat %d: the newest start's %+v got %s", seed, i, h, verdict)
 			}
 			newest = latest(newest, h.StartedAt)
--- a/core/emulation/caller.go
+++ b/core/emulation/caller.go
@@ -76,7 +76,7 @@
 
 func (w *world) finish(req *callerRequest, o *nodetest.Outcome) {
 	took := w.now() - req.arrived
-	if o.Served() {
+	if o.Succeeded() {
 		w.outcome.addServed(req.class, req.arrived, took)
 		return
 	}
--- a/core/emulation/load_test.go
+++ b/core/emulation/load_test.go
@@ -18,7 +18,7 @@
 
 // meanWorths runs a deployment with several seeds and returns the mean worth by
 // class, and under the empty name that of all requests.
-func meanWorths(t *testing.T, d emulation.Deployment, disturbance emulation.Trouble) map[coltsfootward.RouteName]float64 {
+func meanWorths(t *testing.T, d emulation.Deployment, disturbance emulation.Disturbance) map[coltsfootward.RouteName]float64 {
 	t.Helper()
 	outcomes := make([]*emulation.Outcome, seedCount)
 	var wait sync.WaitGroup
@@ -39,7 +39,7 @@
 
 func TestUndisturbedRunIsServed(t *testing.T) {
 	for _, d := range []emulation.Deployment{emulation.Publisher(), emulation.Consortium()} {
-		if got := meanWorths(t, d, emulation.Trouble{})[""]; got < 0.99 {
+		if got := meanWorths(t, d, emulation.Disturbance{})[""]; got < 0.99 {
 			t.Errorf("%s: got %.3f of the worth, want at least 0.99", d.Name, got)
 		}
 	}
@@ -61,9 +61,9 @@
 		{emulation.Publisher(), "quotes", 0.66, "order", "file"},
 		{emulation.Fleet(), "quotes", 0.70, "order", "file"},
 	} {
-		got := meanWorths(t, test.deployment, emulation.Trouble{
+		got := meanWorths(t, test.deployment, emulation.Disturbance{
 			Burst: 1.7, BurstSpan: span(300*time.Millisecond, 16*time.Second),
-			Service: test.deep, Lost: 1, LostAt: time.Second,
+			Service: test.deep, LostServers: 1, LostAt: time.Second,
 		})
 		name := test.deployment.Name
 		if got[""] < test.least {
@@ -91,7 +91,7 @@
 		{emulation.Consortium(), "sections", "certificate"},
 		{emulation.Publisher(), "quotes", "order"},
 	} {
-		got := meanWorths(t, test.deployment, emulation.Trouble{Service: test.deep, Fails: 0.24, FailSpan: span(8*time.Second, 12*time.Second)})
+		got := meanWorths(t, test.deployment, emulation.Disturbance{Service: test.deep, FailShare: 0.24, FailSpan: span(8*time.Second, 12*time.Second)})
 		if got[test.important] < 0.89 {
 			t.Errorf("%s: %s got %.3f of its worth, want at least 0.89", test.deployment.Name, test.important, got[test.important])
 		}
@@ -113,9 +113,9 @@
 		{emulation.Consortium(), "sections", "status", 0.64},
 		{emulation.Publisher(), "quotes", "quote", 0.60},
 	} {
-		got := meanWorths(t, test.deployment, emulation.Trouble{
+		got := meanWorths(t, test.deployment, emulation.Disturbance{
 			Burst: 1.7, BurstSpan: span(300*time.Millisecond, 16*time.Second),
-			Service: test.deep, Rejects: 0.55, RejectSpan: span(8*time.Second, 14*time.Second),
+			Service: test.deep, RejectShare: 0.55, RejectSpan: span(8*time.Second, 14*time.Second),
 		})
 		if got[test.own] < 0.87 {
 			t.Errorf("%s: %s got %.3f of its worth, want at least 0.87", test.deployment.Name, test.own, got[test.own])
--- a/core/emulation/run.go
+++ b/core/emulation/run.go
@@ -36,31 +36,31 @@
 
 func (s Span) contains(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// Trouble is the disturbance of a run: a burst of requests or faults of a
+// Disturbance is the disturbance of a run: a burst of requests or faults of a
 // service. The zero value means none.
-type Trouble struct {
+type Disturbance struct {
 	// Burst multiplies the rate of callers' requests during BurstSpan; zero
 	// means 1.
 	Burst     float64
 	BurstSpan Span
 	// Service is the service that the following fields concern.
 	Service coltsfootward.ServiceName
-	// Lost is how many of its backend servers are lost for good at LostAt.
-	Lost   int
-	LostAt time.Duration
-	// Rejects is the fraction of requests that its backend servers reject
+	// LostServers is how many of its backend servers are lost for good at LostAt.
+	LostServers int
+	LostAt      time.Duration
+	// RejectShare is the fraction of requests that its backend servers reject
 	// during RejectSpan, whatever their load.
-	Rejects    float64
-	RejectSpan Span
-	// Fails is the fraction of its executions that end without a response
+	RejectShare float64
+	RejectSpan  Span
+	// FailShare is the fraction of its executions that end without a response
 	// during FailSpan.
-	Fails    float64
-	FailSpan Span
+	FailShare float64
+	FailSpan  Span
 }
 
 // Run runs a deployment with the given time of traffic and returns the outcome.
 // The result depends only on the arguments.
-func Run(d Deployment, t Trouble, length time.Duration, seed uint64) *Outcome {
+func Run(d Deployment, t Disturbance, length time.Duration, seed uint64) *Outcome {
 	w := &world{deployment: d, disturbance: t, length: length, rig: nodetest.New(seed), source: rand.New(rand.NewPCG(seed, 7))}
 	w.rig.Delay = func(from, to coltsfootward.Instance) time.Duration {
 		if from.Domain == to.Domain {
@@ -86,7 +86,7 @@
 // world is the state of one run.
 type world struct {
 	deployment   Deployment
-	disturbance  Trouble
+	disturbance  Disturbance
 	length       time.Duration
 	rig          *nodetest.Rig
 	source       *rand.Rand
@@ -113,7 +113,7 @@
 			})
 			w.members = append(w.members, m)
 			w.services[m] = s
-			m.Read(document)
+			m.ReadConfiguration(document)
 			w.configureBackend(m, s, s.Speeds[i%len(s.Speeds)])
 			m.Announce(s.Name, s.Slots)
 		}
@@ -141,7 +141,7 @@
 // server.
 func (w *world) configureBackend(m *nodetest.Member, s Service, speed float64) {
 	b := m.Backend
-	b.AnswersFailures = true
+	b.RespondsOnFailure = true
 	b.ServiceTime = func(call message.Call) time.Duration {
 		work := w.deployment.class(call.Route).Work.Seconds() / speed * (0.6 + 0.8*w.source.Float64())
 		if float64(b.Running()) > slowdownThreshold*float64(s.Slots) {
@@ -165,10 +165,10 @@
 		return
 	}
 	b.Reject = func(message.Call) bool {
-		return w.disturbance.RejectSpan.contains(w.now()) && w.source.Float64() < w.disturbance.Rejects
+		return w.disturbance.RejectSpan.contains(w.now()) && w.source.Float64() < w.disturbance.RejectShare
 	}
 	b.Fail = func(message.Call) bool {
-		return w.disturbance.FailSpan.contains(w.now()) && w.source.Float64() < w.disturbance.Fails
+		return w.disturbance.FailSpan.contains(w.now()) && w.source.Float64() < w.disturbance.FailShare
 	}
 }
 
@@ -176,7 +176,7 @@
 func (w *world) scheduleLosses() {
 	lost := 0
 	for _, m := range w.members {
-		if w.services[m].Name == w.disturbance.Service && lost < w.disturbance.Lost {
+		if w.services[m].Name == w.disturbance.Service && lost < w.disturbance.LostServers {
 			lost++
 			w.rig.After(w.disturbance.LostAt, m.Kill)
 		}
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -178,7 +178,7 @@
 	f := newFleet(2, 3, 4)
 	f.settle(t)
 	f.members[1].Kill()
-	f.CutDomain("domain-2", true)
+	f.PartitionDomain("domain-2", true)
 	f.Run(15 * time.Second)
 	f.changeIdleRate()
 	queried := f.members[3]
@@ -212,10 +212,10 @@
 		behind := f.members[9]
 		for _, m := range f.members {
 			if m != behind {
-				f.Cut(behind.Instance.ID, m.Instance.ID)
+				f.Partition(behind.Instance.ID, m.Instance.ID)
 			}
 		}
-		f.Table.CutInstance(behind.Instance.ID, true)
+		f.Table.SetInstancePartitioned(behind.Instance.ID, true)
 		f.changeIdleRate()
 		for _, m := range f.members[6:] {
 			if m != behind {
@@ -294,7 +294,7 @@
 			if got := f.countAcceptingKey(); got != 24 {
 				t.Fatalf("before the withdrawal: key accepted at %d nodes, want 24", got)
 			}
-			f.Table.Slow = slow
+			f.Table.ExtraDelay = slow
 			began := f.Now()
 			f.members[10].Node().WithdrawKey(tradersKey)
 			f.After(slow, f.withdraw)
@@ -328,7 +328,7 @@
 	if got := f.countAcceptingKey(); got != 6 {
 		t.Fatalf("after an outage of 1 h: key accepted at %d nodes, want 6", got)
 	}
-	f.CutDomain("domain-1", true)
+	f.PartitionDomain("domain-1", true)
 	f.Run(9 * time.Minute)
 	if got := f.countAcceptingKey(); got != 6 {
 		t.Errorf("within the grace period: key accepted at %d nodes, want 6", got)
@@ -406,26 +406,26 @@
 	case "resume":
 		m.Resume()
 	case "cut":
-		f.CutDomain(domain, true)
+		f.PartitionDomain(domain, true)
 	case "heal":
 		f.HealDomain(domain)
 	case "cut from table":
-		f.Table.CutInstance(m.Instance.ID, true)
+		f.Table.SetInstancePartitioned(m.Instance.ID, true)
 	case "lossy links":
 		f.DropMessage = func(_, _ coltsfootward.Instance) bool { return f.Source().IntN(2) == 0 }
 	case "outage":
 		f.Table.Outage = true
 	case "lose":
-		f.Table.LoseAnswers = true
+		f.Table.LoseResponses = true
 	case "slow":
-		f.Table.Slow = 5 * time.Second
+		f.Table.ExtraDelay = 5 * time.Second
 	case "well":
 		f.restoreTable()
 	}
 }
 
 func (f *fleet) restoreTable() {
-	f.Table.Outage, f.Table.LoseAnswers, f.Table.Slow = false, false, 0
+	f.Table.Outage, f.Table.LoseResponses, f.Table.ExtraDelay = false, false, 0
 }
 
 func (f *fleet) healAll() {
@@ -435,7 +435,7 @@
 		f.HealDomain(domain)
 	}
 	for _, m := range f.members {
-		f.Table.CutInstance(m.Instance.ID, false)
+		f.Table.SetInstancePartitioned(m.Instance.ID, false)
 		m.Resume()
 		if !m.Alive() {
 			m.Restart()
--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -110,11 +110,11 @@
 		f.rig.After(d, func() { f.rig.Table.Outage = false })
 	}},
 	{"lost answers", func(f *ratedFleet, _ *nodetest.Member, d time.Duration) {
-		f.rig.Table.LoseAnswers = true
-		f.rig.After(d, func() { f.rig.Table.LoseAnswers = false })
+		f.rig.Table.LoseResponses = true
+		f.rig.After(d, func() { f.rig.Table.LoseResponses = false })
 	}},
 	{"cut domain", func(f *ratedFleet, m *nodetest.Member, d time.Duration) {
-		f.rig.CutDomain(m.Instance.Domain, true)
+		f.rig.PartitionDomain(m.Instance.Domain, true)
 		f.rig.After(d, func() { f.rig.HealDomain(m.Instance.Domain) })
 	}},
 	{"slow links", func(f *ratedFleet, _ *nodetest.Member, d time.Duration) {
--- a/core/nodetest/attempt_test.go
+++ b/core/nodetest/attempt_test.go
@@ -133,13 +133,13 @@
 		return []*nodetest.Outcome{c.entry.Send(nodetest.Request{Key: key, Service: layer(0)})}
 	case "leave":
 		o := c.entry.Send(nodetest.Request{Key: key, Service: layer(0)})
-		c.rig.After(time.Duration(rapid.IntRange(0, 60).Draw(t, "leave after"))*time.Millisecond, o.Leave)
+		c.rig.After(time.Duration(rapid.IntRange(0, 60).Draw(t, "leave after"))*time.Millisecond, o.Cancel)
 		return []*nodetest.Outcome{o}
 	case "timeout":
 		timeout := time.Duration(rapid.IntRange(1, 60).Draw(t, "timeout")) * time.Millisecond
 		return []*nodetest.Outcome{c.entry.Send(nodetest.Request{Key: key, Service: layer(0), Timeout: timeout})}
 	case "cut":
-		c.rig.Cut(m.Instance.ID, other.Instance.ID)
+		c.rig.Partition(m.Instance.ID, other.Instance.ID)
 	case "heal":
 		c.rig.Heal(m.Instance.ID, other.Instance.ID)
 	case "kill":
--- a/core/nodetest/backend.go
+++ b/core/nodetest/backend.go
@@ -44,9 +44,9 @@
 	// not answered with success, the request fails at once and the other child
 	// calls continue.
 	Parallel bool
-	// AnswersFailures makes a request end with a response of status 500 if one of
+	// RespondsOnFailure makes a request end with a response of status 500 if one of
 	// its child calls failed. Without it, the request ends without a response.
-	AnswersFailures bool
+	RespondsOnFailure bool
 	// Fail, if set, selects requests that end without a response after their
 	// service time.
 	Fail func(message.Call) bool
@@ -227,7 +227,7 @@
 			j.pending--
 			switch {
 			case j.stopped:
-			case !o.Served():
+			case !o.Succeeded():
 				b.failChildCall(j)
 			case j.pending == 0:
 				b.serve(j)
@@ -256,7 +256,7 @@
 		if j.stopped {
 			return
 		}
-		if !outcome.Served() {
+		if !outcome.Succeeded() {
 			b.failChildCall(j)
 			return
 		}
@@ -266,7 +266,7 @@
 
 // failChildCall ends a request after one of its child calls failed.
 func (b *Backend) failChildCall(j *job) {
-	if s, ok := b.member.peerCalls[j.call]; ok && b.AnswersFailures {
+	if s, ok := b.member.peerCalls[j.call]; ok && b.RespondsOnFailure {
 		s.status = http.StatusInternalServerError
 		b.end(j, node.DispatchEnded{Call: j.call, Kind: node.DispatchAnswered, Failed: true})
 		return
@@ -308,7 +308,7 @@
 	delete(b.member.peerCalls, call)
 	j.run.Ended = b.member.rig.Now()
 	if j.child != nil {
-		j.child.Leave()
+		j.child.Cancel()
 	}
 	b.member.deliver(func() node.Event { return node.DispatchEnded{Call: call, Kind: node.DispatchCancelled} })
 	b.startQueued()
--- a/core/nodetest/claim_test.go
+++ b/core/nodetest/claim_test.go
@@ -119,10 +119,10 @@
 	case "leave":
 		if len(o.keys) > 0 {
 			outcome := o.place(m, rapid.SampledFrom(o.keys).Draw(t, "which"))
-			o.rig.After(time.Duration(rapid.IntRange(0, 15).Draw(t, "after"))*time.Millisecond, outcome.Leave)
+			o.rig.After(time.Duration(rapid.IntRange(0, 15).Draw(t, "after"))*time.Millisecond, outcome.Cancel)
 		}
 	case "cut":
-		o.rig.Cut(m.Instance.ID, other.Instance.ID)
+		o.rig.Partition(m.Instance.ID, other.Instance.ID)
 	case "heal":
 		o.rig.Heal(m.Instance.ID, other.Instance.ID)
 	case "kill":
--- a/core/nodetest/cold_test.go
+++ b/core/nodetest/cold_test.go
@@ -107,7 +107,7 @@
 		r.Run(time.Second)
 		for _, m := range members {
 			m.Restart()
-			m.Read(coldDocument())
+			m.ReadConfiguration(coldDocument())
 			m.AnnounceCold("quotes", 40, coldTime)
 		}
 		from := r.Now()
--- a/core/nodetest/holder_test.go
+++ b/core/nodetest/holder_test.go
@@ -37,7 +37,7 @@
 			r.Run(100 * time.Millisecond)
 		}
 		r.Run(30 * time.Second)
-		r.CutDomain("north", true)
+		r.PartitionDomain("north", true)
 		r.Run(time.Second)
 		for _, m := range r.Members() {
 			if m.Instance.Domain != "north" {
--- a/core/nodetest/member.go
+++ b/core/nodetest/member.go
@@ -260,8 +260,8 @@
 	m.deliver(func() node.Event { return node.DomainsRead{OutOfService: o} })
 }
 
-// Read delivers a configuration document, as read from the platform.
-func (m *Member) Read(c coltsfootward.Configuration) {
+// ReadConfiguration delivers a configuration document, as read from the platform.
+func (m *Member) ReadConfiguration(c coltsfootward.Configuration) {
 	m.deliver(func() node.Event { return node.ConfigurationRead{Configuration: c} })
 }
 
@@ -307,9 +307,9 @@
 	return o
 }
 
-// Served reports whether the caller received a complete response with a status
+// Succeeded reports whether the caller received a complete response with a status
 // below 500.
-func (o *Outcome) Served() bool { return o.Answered && o.Status < http.StatusInternalServerError }
+func (o *Outcome) Succeeded() bool { return o.Answered && o.Status < http.StatusInternalServerError }
 
 // OnDone runs f once the request has ended, or immediately if it has already
 // ended. A later call replaces f.
@@ -321,8 +321,8 @@
 	o.onDone = f
 }
 
-// Leave cancels the request as its caller does by disconnecting.
-func (o *Outcome) Leave() {
+// Cancel cancels the request as its caller does by disconnecting.
+func (o *Outcome) Cancel() {
 	m := o.member
 	e, ok := m.entryRequests[o.call]
 	if !ok || o.Done {
--- a/core/nodetest/promises_test.go
+++ b/core/nodetest/promises_test.go
@@ -165,12 +165,12 @@
 	case 3:
 		if m != other {
 			w.noteFault("partition %s from "+string(other.Instance.ID), m)
-			w.rig.Cut(m.Instance.ID, other.Instance.ID)
+			w.rig.Partition(m.Instance.ID, other.Instance.ID)
 			w.rig.After(duration, func() { w.rig.Heal(m.Instance.ID, other.Instance.ID) })
 		}
 	case 4:
 		w.noteFault("partition the domain of %s", m)
-		w.rig.CutDomain(m.Instance.Domain, true)
+		w.rig.PartitionDomain(m.Instance.Domain, true)
 		w.rig.After(duration, func() { w.rig.HealDomain(m.Instance.Domain) })
 	case 5:
 		w.noteFault("outage", m)
@@ -178,8 +178,8 @@
 		w.rig.After(duration, func() { w.rig.Table.Outage = false })
 	case 6:
 		w.noteFault("lost responses", m)
-		w.rig.Table.LoseAnswers = true
-		w.rig.After(duration, func() { w.rig.Table.LoseAnswers = false })
+		w.rig.Table.LoseResponses = true
+		w.rig.After(duration, func() { w.rig.Table.LoseResponses = false })
 	case 7:
 		w.noteFault("slow backend server %s", m)
 		m.Backend.ServiceTime = func(message.Call) time.Duration { return 300 * time.Millisecond }
--- a/core/nodetest/renewal_test.go
+++ b/core/nodetest/renewal_test.go
@@ -60,7 +60,7 @@
 	r.Run(10 * time.Millisecond)
 	second := north.Send(nodetest.Request{Key: key, Service: "quotes"})
 	r.Run(time.Second - 9*time.Millisecond)
-	second.Leave()
+	second.Cancel()
 	r.Run(time.Second)
 	third := north.Send(nodetest.Request{Key: key, Service: "quotes"})
 	r.Run(3 * time.Second)
--- a/core/nodetest/rig.go
+++ b/core/nodetest/rig.go
@@ -97,8 +97,8 @@
 	return true
 }
 
-// Cut partitions the link between two instances in both directions.
-func (r *Rig) Cut(a, b coltsfootward.InstanceID) {
+// Partition partitions the link between two instances in both directions.
+func (r *Rig) Partition(a, b coltsfootward.InstanceID) {
 	r.partitioned[link{a, b}] = true
 	r.partitioned[link{b, a}] = true
 }
@@ -109,10 +109,10 @@
 	delete(r.partitioned, link{b, a})
 }
 
-// CutDomain partitions a failure domain from all others, and from the table as
+// PartitionDomain partitions a failure domain from all others, and from the table as
 // well if table is set.
-func (r *Rig) CutDomain(domain coltsfootward.FailureDomain, table bool) {
-	r.forEachCrossingLink(domain, r.Cut)
+func (r *Rig) PartitionDomain(domain coltsfootward.FailureDomain, table bool) {
+	r.forEachCrossingLink(domain, r.Partition)
 	if table {
 		r.Table.setDomainPartitioned(domain, true)
 	}
--- a/core/nodetest/routed_test.go
+++ b/core/nodetest/routed_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, m := range members {
-		m.Read(document)
+		m.ReadConfiguration(document)
 		m.Announce("quotes", 4)
 	}
 	r.Run(8 * time.Second)
@@ -214,7 +214,7 @@
 		routes := document.Routes()
 		routes[0].Name = coltsfootward.RouteName(fmt.Sprintf("quotes-%d", revision))
 		for _, m := range members {
-			m.Read(document.WithRoutes(routes))
+			m.ReadConfiguration(document.WithRoutes(routes))
 		}
 		if o := get(members[0]); o == nil {
 			t.Fatal("no request")
@@ -240,7 +240,7 @@
 	r.Run(time.Second)
 	for _, m := range members {
 		m.Restart()
-		m.Read(document)
+		m.ReadConfiguration(document)
 		m.Announce("quotes", 4)
 	}
 	const step, formation = 20 * time.Millisecond, 600 * time.Millisecond
--- a/core/nodetest/slot_test.go
+++ b/core/nodetest/slot_test.go
@@ -56,7 +56,7 @@
 		r, members := newRoutedRig(uint64(round), 4, document, "north")
 		for _, other := range members {
 			if other != members[partitioned] {
-				r.Cut(members[partitioned].Instance.ID, other.Instance.ID)
+				r.Partition(members[partitioned].Instance.ID, other.Instance.ID)
 			}
 		}
 		var sent []*nodetest.Outcome
--- a/core/nodetest/start_test.go
+++ b/core/nodetest/start_test.go
@@ -35,12 +35,12 @@
 		switch m.Node().DocumentTask() {
 		case node.DocumentRead:
 			s.reads++
-			m.Read(s.document)
+			m.ReadConfiguration(s.document)
 		case node.DocumentFollow:
 			if seen, ok := following[m]; !ok || seen < s.document.Revision() {
 				s.follows++
 				following[m] = s.document.Revision()
-				m.Read(s.document)
+				m.ReadConfiguration(s.document)
 			}
 		}
 	}
--- a/core/nodetest/table.go
+++ b/core/nodetest/table.go
@@ -22,10 +22,10 @@
 type Table struct {
 	// Outage makes every operation fail with ErrUnavailable and have no effect.
 	Outage bool
-	// LoseAnswers makes operations take effect and then fail with ErrUnavailable.
-	LoseAnswers bool
-	// Slow is added to the duration of every operation of a node.
-	Slow time.Duration
+	// LoseResponses makes operations take effect and then fail with ErrUnavailable.
+	LoseResponses bool
+	// ExtraDelay is added to the duration of every operation of a node.
+	ExtraDelay time.Duration
 	// Reads and Writes count the operations that took effect.
 	Reads, Writes int
 	// SlotReads and SlotWrites count those among them that accessed the slots'
@@ -47,10 +47,10 @@
 	t.partitionedDomains[domain] = partitioned
 }
 
-// CutInstance partitions one instance from the table, or restores its link to the
+// SetInstancePartitioned partitions one instance from the table, or restores its link to the
 // table if cut is false.
-func (t *Table) CutInstance(id coltsfootward.InstanceID, cut bool) {
-	t.partitionedInstances[id] = cut
+func (t *Table) SetInstancePartitioned(id coltsfootward.InstanceID, partitioned bool) {
+	t.partitionedInstances[id] = partitioned
 }
 
 // perform carries out a table action of a node. The operation takes effect after
@@ -77,7 +77,7 @@
 		return
 	}
 	boot := m.boots
-	t.rig.After(tableLatency/2+t.Slow, func() {
+	t.rig.After(tableLatency/2+t.ExtraDelay, func() {
 		rows, err := t.execute(m.Instance, run)
 		t.rig.After(tableLatency/2, func() {
 			if m.boots == boot {
@@ -97,7 +97,7 @@
 // result returns the outcome of an operation, or ErrUnavailable if responses are
 // being lost.
 func (t *Table) result(err error) error {
-	if t.LoseAnswers {
+	if t.LoseResponses {
 		return coltsfootward.ErrUnavailable
 	}
 	return err
--- a/core/scenario/real.go
+++ b/core/scenario/real.go
@@ -86,12 +86,12 @@
 		}
 		done(got)
 	})
-	return o.Leave
+	return o.Cancel
 }
 
 func (m *mesh) startDisturbance() {
 	if m.scenario.Partition {
-		m.rig.CutDomain(m.deployment.Domains[0], true)
+		m.rig.PartitionDomain(m.deployment.Domains[0], true)
 	}
 	m.forEachBottleneckServer(func(member *nodetest.Member, index int) {
 		service := m.deployment.Service(m.deployment.Bottleneck)
--- a/io/caller/bench_test.go
+++ b/io/caller/bench_test.go
@@ -87,9 +87,9 @@
 }
 
 func BenchmarkThroughOwnNode(b *testing.B) {
-	benchCalls(b, "http://"+benchNodes(b, false).Callers+"/archive/quote")
+	benchCalls(b, "http://"+benchNodes(b, false).CallerAddress+"/archive/quote")
 }
 
 func BenchmarkThroughTwoNodes(b *testing.B) {
-	benchCalls(b, "http://"+benchNodes(b, true).Callers+"/archive/quote")
+	benchCalls(b, "http://"+benchNodes(b, true).CallerAddress+"/archive/quote")
 }
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -114,7 +114,7 @@
 // endRefused reports to the state machine that a node refused the attempt. The
 // number of used attempts is in the message that ends the refusal; it is -1 if
 // that message was not received.
-func (e *exchange) endRefused(response *peer.Answer) bool {
+func (e *exchange) endRefused(response *peer.Response) bool {
 	ended := node.AttemptEnded{
 		Call: e.call.ID, Kind: node.AttemptRefused, Refusal: *response.Head.Refusal, Load: response.Head.Load,
 		Attempts: -1,
@@ -131,7 +131,7 @@
 // request has ended. If the body is truncated, the remainder is requested where
 // that is possible. Otherwise the connection to the caller is closed, so that the
 // caller does not take a truncated response for a complete one.
-func (e *exchange) relayResponse(response *peer.Answer) bool {
+func (e *exchange) relayResponse(response *peer.Response) bool {
 	if !e.beginResponse(response) {
 		e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: -1})
 		response.Close()
@@ -157,7 +157,7 @@
 
 // beginResponse sends the response's head to the caller. If a part of an earlier
 // response was sent already, it instead reports whether this one continues it.
-func (e *exchange) beginResponse(response *peer.Answer) bool {
+func (e *exchange) beginResponse(response *peer.Response) bool {
 	if e.download.begun {
 		return e.download.isContinuation(response)
 	}
@@ -172,7 +172,7 @@
 
 // retainedResponse returns the response to retain for repeated requests, or nil if
 // it is incomplete, too large or not to be retained.
-func (e *exchange) retainedResponse(response *peer.Answer, complete bool) *claim.Answer {
+func (e *exchange) retainedResponse(response *peer.Response, complete bool) *claim.Answer {
 	if !complete || !e.retainable {
 		return nil
 	}
@@ -205,7 +205,7 @@
 }
 
 // copyBody forwards the body as it arrives and reports whether it is complete.
-func (e *exchange) copyBody(response *peer.Answer) bool {
+func (e *exchange) copyBody(response *peer.Response) bool {
 	flusher := http.NewResponseController(e.writer)
 	pooled := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(pooled)
--- a/io/caller/header.go
+++ b/io/caller/header.go
@@ -49,7 +49,7 @@
 func RequestFields(h http.Header, key string) map[string][]string {
 	forwarded := make(map[string][]string, len(h))
 	for name, values := range h {
-		if wire.HopField(h, name) || credentialFields[name] || strings.HasPrefix(name, reservedPrefix) {
+		if wire.IsHopByHop(h, name) || credentialFields[name] || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
 		if key != "" && (containsKey(values, key) || containsFold(name, key)) {
@@ -66,7 +66,7 @@
 func ResponseFields(h http.Header) map[string][]string {
 	forwarded := make(map[string][]string, len(h))
 	for name, values := range h {
-		if wire.HopField(h, name) || strings.HasPrefix(name, reservedPrefix) {
+		if wire.IsHopByHop(h, name) || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
 		forwarded[name] = values
--- a/io/caller/key_test.go
+++ b/io/caller/key_test.go
@@ -95,7 +95,7 @@
 		{"Authorization": {"Bearer " + secret}, "Idempotency-Key": {"order-1"}, "Expect": {"100-continue"}},
 		{"Authorization": {"Bearer " + secret}, "Coltsfootward-Call-Token": {secret}},
 	} {
-		request, err := http.NewRequest(http.MethodPost, "http://"+north.Callers+"/results/site-4", strings.NewReader("a body"))
+		request, err := http.NewRequest(http.MethodPost, "http://"+north.CallerAddress+"/results/site-4", strings.NewReader("a body"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,7 +123,7 @@
 		if name == "body" {
 			body = "key=" + secret
 		}
-		request, err := http.NewRequest(http.MethodPost, "http://"+north.Callers+path, strings.NewReader(body))
+		request, err := http.NewRequest(http.MethodPost, "http://"+north.CallerAddress+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/io/caller/resume.go
+++ b/io/caller/resume.go
@@ -29,7 +29,7 @@
 // has given a strong validator and supports range requests. With a weak validator
 // a caller could receive the first half of one version and the second half of
 // another.
-func (d *download) begin(method string, response *peer.Answer) {
+func (d *download) begin(method string, response *peer.Response) {
 	d.begun = true
 	head := http.Header(response.Head.Header)
 	if method != http.MethodGet || response.Head.Status != http.StatusOK || head.Get("Accept-Ranges") != "bytes" {
@@ -88,7 +88,7 @@
 // isContinuation reports whether the response is the remainder of the same body.
 // Any status but 206 means that the body has changed or that the backend server
 // has not applied the range.
-func (d *download) isContinuation(response *peer.Answer) bool {
+func (d *download) isContinuation(response *peer.Response) bool {
 	head := http.Header(response.Head.Header)
 	if response.Head.Status != http.StatusPartialContent {
 		return false
--- a/io/caller/resume_test.go
+++ b/io/caller/resume_test.go
@@ -43,7 +43,7 @@
 
 func get(t *testing.T, n *iotest.Node, path string) (*http.Response, []byte, error) {
 	t.Helper()
-	request, err := http.NewRequest(http.MethodGet, "http://"+n.Callers+path, nil)
+	request, err := http.NewRequest(http.MethodGet, "http://"+n.CallerAddress+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/caller/routed.go
+++ b/io/caller/routed.go
@@ -34,7 +34,7 @@
 	call := h.loop.Open()
 	defer call.Close()
 	event.Call = call.ID
-	e := &exchange{handler: h, call: call, request: r, writer: w, body: body, header: h.options.Routed.PassedOn(r.Header), refuse: refuse}
+	e := &exchange{handler: h, call: call, request: r, writer: w, body: body, header: h.options.Routed.RequestFields(r.Header), refuse: refuse}
 	h.loop.Post(event)
 	e.run()
 }
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -154,10 +154,10 @@
 	return s.closing
 }
 
-// Retire closes the open connections without aborting requests: a connection
+// CloseAfterResponses closes the open connections without aborting requests: a connection
 // without pending requests is closed at once, any other after its next response.
 // New connections are still served.
-func (s *Server) Retire() {
+func (s *Server) CloseAfterResponses() {
 	for _, c := range s.openConnections() {
 		c.retire()
 	}
@@ -174,7 +174,7 @@
 	if listener != nil {
 		listener.Close()
 	}
-	s.Retire()
+	s.CloseAfterResponses()
 	finished := make(chan struct{})
 	go func() {
 		s.wait.Wait()
--- a/io/caller/server_conn.go
+++ b/io/caller/server_conn.go
@@ -117,7 +117,7 @@
 // awaitRequest waits for the first byte of a request and reports whether it
 // arrived. The idle timeout applies only while no request is pending.
 func (c *serverConn) awaitRequest() bool {
-	c.limit.Unbound()
+	c.limit.RemoveLimit()
 	for {
 		c.setIdleDeadline()
 		_, err := c.reader.Peek(1)
@@ -224,9 +224,9 @@
 func (c *serverConn) readRequest() (*http.Request, []byte, *coltsfootward.Refusal) {
 	limits := c.server.limits()
 	_ = c.netConn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)) // on a closed connection the read fails
-	c.limit.Bound(limits.HeaderBytes + headerReadAhead)
+	c.limit.SetLimit(limits.HeaderBytes + headerReadAhead)
 	request, err := http.ReadRequest(c.reader)
-	c.limit.Unbound()
+	c.limit.RemoveLimit()
 	if err != nil {
 		return nil, nil, headerRefusal(err)
 	}
--- a/io/iotest/node.go
+++ b/io/iotest/node.go
@@ -67,9 +67,9 @@
 type Node struct {
 	// Instance identifies the node.
 	Instance coltsfootward.Instance
-	// Callers is the address of the listener for callers, Backend that of the listener
+	// CallerAddress is the address of the listener for callers, BackendAddress that of the listener
 	// for the local backend server.
-	Callers, Backend string
+	CallerAddress, BackendAddress string
 	// Loop runs the node's state machine.
 	Loop *loop.Loop
 	// Transport connects the node with its peers.
@@ -102,8 +102,8 @@
 	})
 	n.upstream = upstream.New(n.Loop, clock)
 	close(n.ready)
-	n.Callers = n.serve(t, caller.Options{})
-	n.Backend = n.serve(t, caller.Options{Local: true})
+	n.CallerAddress = n.serve(t, caller.Options{})
+	n.BackendAddress = n.serve(t, caller.Options{Local: true})
 	t.Cleanup(n.Stop)
 	return n
 }
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatalf("encode announcement: %v", err)
 	}
-	response, err := http.Post("http://"+n.Backend+upstream.AnnouncePath, "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+n.BackendAddress+upstream.AnnouncePath, "application/json", bytes.NewReader(data))
 	if err != nil {
 		t.Fatalf("announce: %v", err)
 	}
@@ -195,7 +195,7 @@
 }
 
 // ServeCall implements peer.Handler.
-func (n *Node) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (n *Node) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	<-n.ready
 	n.upstream.ServeCall(ctx, call, w)
 }
--- a/io/peer/call.go
+++ b/io/peer/call.go
@@ -28,18 +28,18 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Answer is a peer's response: the head, and the body as a stream.
-type Answer struct {
+// Response is a peer's response: the head, and the body as a stream.
+type Response struct {
 	Head   message.Response
 	stream *stream
 }
 
 // Read implements io.Reader for the body. It returns io.EOF only after the
 // complete body, else ErrTruncated or the connection's error.
-func (a *Answer) Read(p []byte) (int, error) { return a.stream.Read(p) }
+func (a *Response) Read(p []byte) (int, error) { return a.stream.Read(p) }
 
 // End returns the trailer of the response and true once the end frame has arrived.
-func (a *Answer) End() (message.ResponseEnd, bool) {
+func (a *Response) End() (message.ResponseEnd, bool) {
 	select {
 	case <-a.stream.endReceived:
 		return a.stream.end, true
@@ -49,7 +49,7 @@
 }
 
 // Close ends the call. It sends the peer a reset if the response is incomplete.
-func (a *Answer) Close() { a.stream.cancel() }
+func (a *Response) Close() { a.stream.cancel() }
 
 // cancel removes the call on this side and sends the peer a reset, unless the call
 // has ended already.
@@ -66,7 +66,7 @@
 
 // Call sends a request and waits for the head of the response. The error is
 // always a *CallError. The caller must close the response.
-func (t *Transport) Call(ctx context.Context, to coltsfootward.Instance, head message.Call, body []byte) (*Answer, error) {
+func (t *Transport) Call(ctx context.Context, to coltsfootward.Instance, head message.Call, body []byte) (*Response, error) {
 	c, err := t.dial(ctx, to)
 	if err != nil {
 		return nil, &CallError{Err: err}
@@ -92,7 +92,7 @@
 }
 
 // roundTrip sends the body and waits for the head of the response.
-func (s *stream) roundTrip(ctx context.Context, body []byte) (*Answer, error) {
+func (s *stream) roundTrip(ctx context.Context, body []byte) (*Response, error) {
 	written, err := s.startBody(ctx, body)
 	if err != nil {
 		return s.responseOrError(err)
@@ -100,7 +100,7 @@
 	for {
 		select {
 		case head := <-s.head:
-			return &Answer{Head: head, stream: s}, nil
+			return &Response{Head: head, stream: s}, nil
 		case err := <-written:
 			if err != nil {
 				return s.responseOrError(err)
@@ -128,10 +128,10 @@
 
 // responseOrError returns the response if its head arrived before the call failed,
 // else err.
-func (s *stream) responseOrError(err error) (*Answer, error) {
+func (s *stream) responseOrError(err error) (*Response, error) {
 	select {
 	case head := <-s.head:
-		return &Answer{Head: head, stream: s}, nil
+		return &Response{Head: head, stream: s}, nil
 	default:
 		return nil, err
 	}
@@ -144,21 +144,21 @@
 	return s.connection.sendValue(frameEnd, s.id, &message.ResponseEnd{})
 }
 
-// AnswerWriter writes the response to one call. It is not safe for concurrent use.
-type AnswerWriter struct {
+// ResponseWriter writes the response to one call. It is not safe for concurrent use.
+type ResponseWriter struct {
 	stream *stream
 	ctx    context.Context
 	ended  bool
 }
 
 // Head sends the head of the response. It must be called once, before Write.
-func (w *AnswerWriter) Head(head message.Response) error {
+func (w *ResponseWriter) Head(head message.Response) error {
 	return w.stream.connection.sendValue(frameAnswer, w.stream.id, &head)
 }
 
-// Whole sends a complete response. It replaces the calls of Head, Write and End, and
+// Respond sends a complete response. It replaces the calls of Head, Write and End, and
 // needs one frame instead of three if the body fits into a chunk.
-func (w *AnswerWriter) Whole(head message.Response, body []byte, end message.ResponseEnd) error {
+func (w *ResponseWriter) Respond(head message.Response, body []byte, end message.ResponseEnd) error {
 	if len(body) <= chunkSize {
 		w.ended = true
 		return w.stream.connection.sendValue(frameWhole, w.stream.id, &completeResponse{Head: head, Body: body, End: end})
@@ -174,17 +174,17 @@
 
 // Write implements io.Writer for the body. It blocks while the flow-control window
 // is full.
-func (w *AnswerWriter) Write(p []byte) (int, error) { return w.stream.write(w.ctx, p) }
+func (w *ResponseWriter) Write(p []byte) (int, error) { return w.stream.write(w.ctx, p) }
 
 // End completes the response.
-func (w *AnswerWriter) End(end message.ResponseEnd) error {
+func (w *ResponseWriter) End(end message.ResponseEnd) error {
 	w.ended = true
 	return w.stream.connection.sendValue(frameEnd, w.stream.id, &end)
 }
 
 // finish ends the call on this side. It resets a response that was not completed,
 // so that the peer cannot mistake it for a complete one.
-func (w *AnswerWriter) finish() {
+func (w *ResponseWriter) finish() {
 	w.stream.connection.removeStream(w.stream.id)
 	if !w.ended {
 		w.stream.connection.reset(w.stream.id)
--- a/io/peer/concurrent_test.go
+++ b/io/peer/concurrent_test.go
@@ -17,7 +17,7 @@
 // echoHandler responds to each call with the call's path.
 type echoHandler struct{ t *testing.T }
 
-func (e *echoHandler) ServeCall(_ context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (e *echoHandler) ServeCall(_ context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	if _, err := io.Copy(io.Discard, call.Body); err != nil {
 		return
 	}
--- a/io/peer/hostile_test.go
+++ b/io/peer/hostile_test.go
@@ -127,7 +127,7 @@
 
 // holdOrRespond keeps calls to /hold open until they are aborted or their connection
 // fails, and responds to all others.
-func holdOrRespond(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func holdOrRespond(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	if call.Head.Path == "/hold" {
 		<-ctx.Done()
 		return
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -40,7 +40,7 @@
 type Handler interface {
 	// ServeCall serves a call and writes the response to w. ctx is cancelled when the
 	// peer aborts the call or the connection fails.
-	ServeCall(ctx context.Context, call IncomingCall, w *AnswerWriter)
+	ServeCall(ctx context.Context, call IncomingCall, w *ResponseWriter)
 	// ServeMessage handles a message. age is an upper bound of the time since the peer
 	// sent it.
 	ServeMessage(from coltsfootward.Instance, m message.Message, age time.Duration)
@@ -289,7 +289,7 @@
 	t.calls.Go(func() {
 		defer t.countServing(-1)
 		defer cancel()
-		w := &AnswerWriter{stream: s, ctx: ctx}
+		w := &ResponseWriter{stream: s, ctx: ctx}
 		t.handler.ServeCall(ctx, call, w)
 		w.finish()
 	})
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -27,14 +27,14 @@
 
 // handler serves calls by a function and records served requests and rejected frames.
 type handler struct {
-	serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)
+	serve func(context.Context, peer.IncomingCall, *peer.ResponseWriter)
 
 	mu       sync.Mutex
 	rejected []error
 	served   map[coltsfootward.RequestID]int
 }
 
-func (h *handler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (h *handler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	h.mu.Lock()
 	if h.served == nil {
 		h.served = make(map[coltsfootward.RequestID]int)
@@ -131,7 +131,7 @@
 	handler        *handler
 }
 
-func newPair(t testing.TB, serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)) *transportPair {
+func newPair(t testing.TB, serve func(context.Context, peer.IncomingCall, *peer.ResponseWriter)) *transportPair {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,7 +164,7 @@
 
 // respondWithBody responds after a random time with the request's body followed by the body
 // for the path.
-func respondWithBody(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func respondWithBody(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	sent, err := io.ReadAll(call.Body)
 	if err != nil {
 		return
@@ -300,7 +300,7 @@
 // connection's reader goroutine waited for that caller, every other call to the peer
 // would stall.
 func TestSlowReaderDoesNotStallOtherCalls(t *testing.T) {
-	p := newPair(t, func(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+	p := newPair(t, func(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 		if call.Head.Path != "/endless" {
 			respondWithBody(ctx, call, w)
 			return
@@ -332,7 +332,7 @@
 	want := bytes.Repeat([]byte("x"), 200<<10) // fits into the flow-control window without a read
 	for range 20 {
 		queued := make(chan struct{})
-		p := newPair(t, func(_ context.Context, _ peer.IncomingCall, w *peer.AnswerWriter) {
+		p := newPair(t, func(_ context.Context, _ peer.IncomingCall, w *peer.ResponseWriter) {
 			_ = w.Head(message.Response{Status: 200})
 			_, _ = w.Write(want)
 			_ = w.End(message.ResponseEnd{Attempts: 1})
--- a/io/upstream/announce.go
+++ b/io/upstream/announce.go
@@ -48,7 +48,7 @@
 		http.Error(w, "upstream: announcement refused: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Use(a.Address, a.Connections)
+	s.SetBackend(a.Address, a.Connections)
 	s.loop.Post(node.BackendAnnounced{Service: a.Service, Slots: a.Slots, Draining: a.Draining})
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/io/upstream/answer.go
+++ b/io/upstream/answer.go
@@ -35,7 +35,7 @@
 // caller.
 func (d *dispatch) responseFields(h http.Header) map[string][]string {
 	if fields := d.server.options.Routed; fields != nil {
-		return fields.AnswerFields(h)
+		return fields.ResponseFields(h)
 	}
 	return caller.ResponseFields(h)
 }
@@ -117,7 +117,7 @@
 		return
 	}
 	head := message.Response{Status: d.buffered.status, Header: d.buffered.header, Load: a.Load}
-	_ = d.writer.Whole(head, d.buffered.body, end)
+	_ = d.writer.Respond(head, d.buffered.body, end)
 }
 
 // sendHead sends the response's head and the first bytes of its body. It returns how
--- a/io/upstream/outcome_test.go
+++ b/io/upstream/outcome_test.go
@@ -139,7 +139,7 @@
 // that a refusal reports, or "aborted" for a truncated body.
 func send(t *testing.T, n *iotest.Node, key, body, timeout string) string {
 	t.Helper()
-	request, err := http.NewRequest(http.MethodPost, "http://"+n.Callers+"/orders/place", strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+n.CallerAddress+"/orders/place", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/upstream/pool.go
+++ b/io/upstream/pool.go
@@ -201,13 +201,13 @@
 		return nil, fmt.Errorf("upstream: send: %w", err)
 	}
 	for range maximumInterim {
-		c.limit.Bound(maximumResponseHeader)
+		c.limit.SetLimit(maximumResponseHeader)
 		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
 			return nil, fmt.Errorf("upstream: receive: %w", err)
 		}
 		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
-			c.limit.Unbound()
+			c.limit.RemoveLimit()
 			return response, nil
 		}
 	}
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -73,9 +73,9 @@
 	return &Server{loop: l, clock: clock, options: options}
 }
 
-// Use directs requests to the backend server at address, an IP address and port, over
+// SetBackend directs requests to the backend server at address, an IP address and port, over
 // the given maximum number of connections. Running requests are not affected.
-func (s *Server) Use(address string, connections int) {
+func (s *Server) SetBackend(address string, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pool != nil && s.pool.address == address && cap(s.pool.slots) == connections {
@@ -87,9 +87,9 @@
 	s.pool = newPool(address, connections)
 }
 
-// UseBackend is like Use for a backend server with a name. Connections to an earlier
+// SetNamedBackend is like Use for a backend server with a name. Connections to an earlier
 // backend server at the same address are not reused.
-func (s *Server) UseBackend(name, address string, connections int) {
+func (s *Server) SetNamedBackend(name, address string, connections int) {
 	s.mu.Lock()
 	if s.backendName != name && s.pool != nil {
 		s.pool.close()
@@ -97,7 +97,7 @@
 	}
 	s.backendName = name
 	s.mu.Unlock()
-	s.Use(address, connections)
+	s.SetBackend(address, connections)
 }
 
 // target returns the backend server's name, which may be empty, and its connections,
@@ -110,7 +110,7 @@
 
 // ServeCall handles a call from a peer until its response is complete. It returns
 // early if ctx or the node's event loop ends.
-func (s *Server) ServeCall(ctx context.Context, incoming peer.IncomingCall, w *peer.AnswerWriter) {
+func (s *Server) ServeCall(ctx context.Context, incoming peer.IncomingCall, w *peer.ResponseWriter) {
 	body, err := wire.ReadBody(incoming.Body, s.options.MaximumBody+1)
 	if err != nil {
 		return // the entry node disconnected while sending; the request did not run
@@ -151,9 +151,9 @@
 	}
 }
 
-func writeRefusal(w *peer.AnswerWriter, a node.Refuse) {
+func writeRefusal(w *peer.ResponseWriter, a node.Refuse) {
 	head := message.Response{Refusal: &a.Refusal, Load: a.Load}
-	_ = w.Whole(head, nil, message.ResponseEnd{Attempts: a.Attempts}) // the entry node may have disconnected
+	_ = w.Respond(head, nil, message.ResponseEnd{Attempts: a.Attempts}) // the entry node may have disconnected
 }
 
 // dispatch is one request to the backend server.
@@ -163,7 +163,7 @@
 	action   node.Dispatch
 	head     message.Call
 	body     []byte
-	writer   *peer.AnswerWriter
+	writer   *peer.ResponseWriter
 	gate     sendGate
 	timedOut atomic.Bool
 	conn     *backendConn
@@ -201,7 +201,7 @@
 		if d.rejected(response) {
 			return d.finish(node.DispatchRejected)
 		}
-		if !d.server.options.Routed.Answers(string(d.head.Request), response.StatusCode, response.Header) {
+		if !d.server.options.Routed.IsResponseTo(string(d.head.Request), response.StatusCode, response.Header) {
 			return d.finish(node.DispatchFailed)
 		}
 	}
--- a/io/wire/limit.go
+++ b/io/wire/limit.go
@@ -16,15 +16,15 @@
 	limited   bool
 }
 
-// Bound limits the bytes that are read from now on to n. Further reads fail with
+// SetLimit limits the bytes that are read from now on to n. Further reads fail with
 // ErrTooLarge.
-func (r *LimitedReader) Bound(n int64) {
+func (r *LimitedReader) SetLimit(n int64) {
 	r.remaining = n
 	r.limited = true
 }
 
-// Unbound removes the limit.
-func (r *LimitedReader) Unbound() { r.limited = false }
+// RemoveLimit removes the limit.
+func (r *LimitedReader) RemoveLimit() { r.limited = false }
 
 // Read implements io.Reader.
 func (r *LimitedReader) Read(p []byte) (int, error) {
--- a/io/wire/wire.go
+++ b/io/wire/wire.go
@@ -35,10 +35,10 @@
 	Cold string
 }
 
-// Answers reports whether a response was produced by the backend server for the request
+// IsResponseTo reports whether a response was produced by the backend server for the request
 // with the given ID. A surplus response on a keep-alive connection carries another ID,
 // and a success without the stamp was produced by another program.
-func (f Fields) Answers(request string, status int, h http.Header) bool {
+func (f Fields) IsResponseTo(request string, status int, h http.Header) bool {
 	if id := h.Get(f.Request); id != "" && id != request {
 		return false
 	}
@@ -52,9 +52,9 @@
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// HopField reports whether a field is hop-by-hop, either by its name or because the
+// IsHopByHop reports whether a field is hop-by-hop, either by its name or because the
 // Connection field of h lists it.
-func HopField(h http.Header, name string) bool {
+func IsHopByHop(h http.Header, name string) bool {
 	if hopByHopFields[name] {
 		return true
 	}
@@ -68,13 +68,13 @@
 	return false
 }
 
-// PassedOn returns the header fields of a request that are forwarded to the backend
+// RequestFields returns the header fields of a request that are forwarded to the backend
 // server: all except the hop-by-hop fields, the caller's API key, and the fields that
 // nodes set themselves, whose values from the caller are ignored.
-func (f Fields) PassedOn(h http.Header) map[string][]string {
+func (f Fields) RequestFields(h http.Header) map[string][]string {
 	forwarded := make(map[string][]string, len(h))
 	for name, values := range h {
-		if HopField(h, name) || f.setByNodes(name) || name == "Authorization" && hasBearer(values) {
+		if IsHopByHop(h, name) || f.setByNodes(name) || name == "Authorization" && hasBearer(values) {
 			continue
 		}
 		forwarded[name] = values
@@ -101,12 +101,12 @@
 	return false
 }
 
-// AnswerFields returns the header fields of a backend server's response that are relayed
+// ResponseFields returns the header fields of a backend server's response that are relayed
 // to the caller: all except the hop-by-hop fields and those meant for the node.
-func (f Fields) AnswerFields(h http.Header) map[string][]string {
+func (f Fields) ResponseFields(h http.Header) map[string][]string {
 	relayed := make(map[string][]string, len(h))
 	for name, values := range h {
-		if HopField(h, name) || name == f.Load || name == f.Backend || name == f.NotRun {
+		if IsHopByHop(h, name) || name == f.Load || name == f.Backend || name == f.NotRun {
 			continue
 		}
 		relayed[name] = values
--- a/standin/hosting/store.go
+++ b/standin/hosting/store.go
@@ -52,9 +52,9 @@
 	s.failStatus = status
 }
 
-// Forget drops the history of changes, so that feeds that start before the present
+// DropHistory drops the history of changes, so that feeds that start before the present
 // version get 410 Gone.
-func (s *Store) Forget() {
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
