--- a/cmd/coltsload/cost_test.go
+++ b/cmd/coltsload/cost_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if used := after.minus(before); used.CPUTime <= 0 || used.ReadsAndWrites < 1 {
-		t.Errorf("got %+v, want processor time and reads", used)
+		t.Errorf("got %+v, want CPU time and reads", used)
 	}
 }
 
--- a/cmd/coltsload/cost_units.go
+++ b/cmd/coltsload/cost_units.go
@@ -96,7 +96,7 @@
 }
 
 // forEachThread parses the lines "key: value" of the named file of each thread of a
-// process.
+// process. A line without a colon is passed to parse as the key.
 func forEachThread(pid int, name string, parse func(key, value string) error) error {
 	directory := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(directory)
--- a/cmd/coltsload/emulate.go
+++ b/cmd/coltsload/emulate.go
@@ -8,9 +8,9 @@
 	"coltsfootward/core/emulation"
 )
 
-// troubleStart is when the trouble of an emulation begins. By then, nodes have learnt
-// which services each class of requests needs.
-const troubleStart = 4 * time.Second
+// disturbanceStart is when the disturbance of an emulation begins. By then, nodes have
+// learnt which services each class of requests needs.
+const disturbanceStart = 4 * time.Second
 
 // emulate runs a routed deployment under a virtual clock.
 type emulate struct {
@@ -34,13 +34,13 @@
 	case "fleet":
 		d = emulation.Fleet()
 	}
-	trouble, err := c.trouble(d)
+	disturbance, err := c.disturbance(d)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	o := emulation.Run(d, trouble, c.Duration, c.Seed)
-	fmt.Printf("%s, seed %d, trouble at %s from %s on for %s\n\n%s\n", d.Name, c.Seed, trouble.Service, troubleStart, c.For, o)
+	o := emulation.Run(d, disturbance, c.Duration, c.Seed)
+	fmt.Printf("%s, seed %d, trouble at %s from %s on for %s\n\n%s\n", d.Name, c.Seed, disturbance.Service, disturbanceStart, c.For, o)
 	for _, s := range d.Services {
 		fmt.Printf("%-13s %6d arrivals at backend servers\n", s.Name, o.Arrivals(s.Name))
 	}
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// trouble validates the flags and converts them to an emulation.Trouble. The flags
-// library checks their types only.
-func (c *emulate) trouble(d emulation.Deployment) (emulation.Disturbance, error) {
+// disturbance validates the flags and converts them to an emulation.Disturbance. The
+// flags library checks their types only.
+func (c *emulate) disturbance(d emulation.Deployment) (emulation.Disturbance, error) {
 	service := d.Services[len(d.Services)-1]
 	found := c.Service == ""
 	for _, s := range d.Services {
@@ -70,9 +70,9 @@
 	case c.Rejects < 0 || c.Rejects > 1 || c.Fails < 0 || c.Fails > 1:
 		return emulation.Disturbance{}, errors.New("coltsload: --rejects and --fails must be from 0 to 1")
 	}
-	span := emulation.Span{From: troubleStart, To: troubleStart + c.For}
+	span := emulation.Span{From: disturbanceStart, To: disturbanceStart + c.For}
 	return emulation.Disturbance{
-		Burst: c.Burst, BurstSpan: span, Service: service.Name, LostServers: c.Lost, LostAt: troubleStart,
+		Burst: c.Burst, BurstSpan: span, Service: service.Name, LostServers: c.Lost, LostAt: disturbanceStart,
 		RejectShare: c.Rejects, RejectSpan: span, FailShare: c.Fails, FailSpan: span,
 	}, nil
 }
--- a/cmd/coltsload/openloop.go
+++ b/cmd/coltsload/openloop.go
@@ -92,7 +92,7 @@
 				m.failed[failure]++
 				return
 			}
-			_ = m.histogram.RecordValue(max(took.Microseconds(), minLatencyMicros)) // only a call that timed out is out of range
+			_ = m.histogram.RecordValue(max(took.Microseconds(), minLatencyMicros)) // out of range only if the call started 30 s late
 		})
 	}
 	wait.Wait()
--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -73,17 +73,17 @@
 // sendRequest sends one request and records its outcome.
 func sendRequest(client *http.Client, n *node, l *ledger, id string) {
 	organisation, _, _ := strings.Cut(id, "-")
-	t := outcome{order: routeOf(id) == "order", node: n.Number(), sent: l.now()}
-	defer func() { l.recordOutcome(id, t) }()
+	o := outcome{order: routeOf(id) == "order", node: n.Number(), sent: l.now()}
+	defer func() { l.recordOutcome(id, o) }()
 	method, body := http.MethodGet, io.Reader(nil)
-	if t.order {
+	if o.order {
 		// A body of a type that net/http doesn't recognise cannot be rewound, so the
 		// client never sends the order a second time.
 		method, body = http.MethodPost, io.MultiReader(strings.NewReader("order "+id))
 	}
 	request, err := http.NewRequest(method, "http://"+n.Ports().Callers+"/"+routeOf(id)+"/"+id, body)
 	if err != nil {
-		t.notConnected = true
+		o.notConnected = true
 		return
 	}
 	request.Host = host
@@ -93,7 +93,7 @@
 	response, err := client.Do(request)
 	if err != nil {
 		var opError *net.OpError
-		t.notConnected = errors.As(err, &opError) && opError.Op == "dial"
+		o.notConnected = errors.As(err, &opError) && opError.Op == "dial"
 		return
 	}
 	defer response.Body.Close()
@@ -101,6 +101,6 @@
 	if err != nil {
 		return // the response was truncated; complete stays false
 	}
-	t.status = response.StatusCode
-	t.complete = string(text) == "answer to "+id && response.Header.Get(fields.Stamp) != ""
+	o.status = response.StatusCode
+	o.complete = string(text) == "answer to "+id && response.Header.Get(fields.Stamp) != ""
 }
--- a/cmd/soak/ledger.go
+++ b/cmd/soak/ledger.go
@@ -28,8 +28,10 @@
 	// notConnected is set if the connection could not be established.
 	status       int
 	notConnected bool
-	complete     bool
-	node         int
+	// complete is set if the response has the body that belongs to the request, and a
+	// stamp.
+	complete bool
+	node     int
 	// sent is when the request was sent, as the time since the ledger was created.
 	sent time.Duration
 }
@@ -75,10 +77,10 @@
 	l.findings = append(l.findings, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) recordOutcome(id string, t outcome) {
+func (l *ledger) recordOutcome(id string, o outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outcomes[id] = t
+	l.outcomes[id] = o
 }
 
 // stopWindow is a period in which one node was stopped as planned and no fault was
@@ -93,34 +95,36 @@
 func (l *ledger) check(stops []stopWindow) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, t := range l.outcomes {
-		l.checkRequest(id, t, stops)
+	for id, o := range l.outcomes {
+		l.checkRequest(id, o, stops)
 	}
 	l.checkRate()
 	slices.Sort(l.findings)
 	return l.findings
 }
 
-func (l *ledger) checkRequest(id string, t outcome, stops []stopWindow) {
+func (l *ledger) checkRequest(id string, o outcome, stops []stopWindow) {
 	runs := l.runs[id]
 	switch {
-	case t.order && runs > 1:
+	case o.order && runs > 1:
 		l.addFinding("order %s ran %d times", id, runs)
-	case t.order && meansNotRun(t.status) && runs > 0:
-		l.addFinding("order %s was answered %d and has run", id, t.status)
+	case o.order && meansNotRun(o.status) && runs > 0:
+		l.addFinding("order %s was answered %d and has run", id, o.status)
 	}
 	switch {
-	case t.status >= http.StatusOK && t.status < http.StatusMultipleChoices:
-		if !t.complete || runs == 0 {
-			l.addFinding("request %s was answered %d, whole: %t, runs: %d", id, t.status, t.complete, runs)
+	case o.status >= http.StatusOK && o.status < http.StatusMultipleChoices:
+		if !o.complete || runs == 0 {
+			l.addFinding("request %s was answered %d, whole: %t, runs: %d", id, o.status, o.complete, runs)
 		}
-	case t.status >= http.StatusBadRequest && t.status < http.StatusInternalServerError && !meansNotRun(t.status):
-		l.addFinding("request %s, which is allowed, was answered %d", id, t.status)
-	case t.status == 0 && !t.notConnected && runs > 0 && sentDuringStop(t, stops):
-		l.addFinding("request %s to node %d was cut off by a planned stop (sent at %v)", id, t.node, t.sent.Round(time.Millisecond))
+	case o.status >= http.StatusBadRequest && o.status < http.StatusInternalServerError && !meansNotRun(o.status):
+		l.addFinding("request %s, which is allowed, was answered %d", id, o.status)
+	case o.status == 0 && !o.notConnected && runs > 0 && sentDuringStop(o, stops):
+		l.addFinding("request %s to node %d was cut off by a planned stop (sent at %v)", id, o.node, o.sent.Round(time.Millisecond))
 	}
 }
 
+// meansNotRun reports whether a response with that status guarantees that no backend
+// server has run the request.
 func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -130,15 +134,14 @@
 	}
 }
 
-func sentDuringStop(t outcome, stops []stopWindow) bool {
+func sentDuringStop(o outcome, stops []stopWindow) bool {
 	return slices.ContainsFunc(stops, func(w stopWindow) bool {
-		return w.node == t.node && t.sent >= w.from && t.sent <= w.to
+		return w.node == o.node && o.sent >= w.from && o.sent <= w.to
 	})
 }
 
 // An organisation may run at most its rate and burst in any rateWindow. rateMargin
-// allows a tenth more, and rateSlack a number of requests that reach the stand-ins
-// late.
+// allows a tenth more, and rateSlack allows for requests that reach the stand-ins late.
 const (
 	rateWindow = 5 * time.Second
 	rateMargin = 1.1
@@ -159,19 +162,20 @@
 	}
 }
 
-// statusCounts counts the requests sent at or after since: those that were served, all,
-// and all by status. It leaves out the rate-limited organisation.
+// statusCounts counts the requests that were sent at or after since, without those of
+// the rate-limited organisation. It returns the number that were served, the number of
+// all, and their numbers by status.
 func (l *ledger) statusCounts(since time.Duration) (served, all int, byStatus map[int]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	byStatus = make(map[int]int)
-	for id, t := range l.outcomes {
-		if t.sent < since || strings.HasPrefix(id, "poor") {
+	for id, o := range l.outcomes {
+		if o.sent < since || strings.HasPrefix(id, "poor") {
 			continue
 		}
 		all++
-		byStatus[t.status]++
-		if t.status == http.StatusOK {
+		byStatus[o.status]++
+		if o.status == http.StatusOK {
 			served++
 		}
 	}
--- a/cmd/soak/proxy.go
+++ b/cmd/soak/proxy.go
@@ -129,9 +129,9 @@
 	delete(p.conns, c)
 }
 
-// forward copies bytes until either side closes its connection. FaultSilence and
-// directionFault stop the copying; FaultNone as directionFault means that no other
-// fault does.
+// forward copies bytes until either side closes its connection. It pauses while the
+// current fault is FaultSilence or directionFault. With FaultNone as directionFault, only
+// FaultSilence pauses it.
 func (p *proxy) forward(to, from net.Conn, directionFault ConnectionFault) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -145,15 +145,15 @@
 			}
 		}
 		if err != nil {
-			if half, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // net returns the plain error
-				_ = half.CloseWrite() // the peer may have closed the connection already
+			if tcp, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // net returns the plain error
+				_ = tcp.CloseWrite() // the peer may have closed the connection already
 			}
 			return
 		}
 	}
 }
 
-// waitToForward waits while the current fault stops this direction, and adds proxyDelay
+// waitToForward waits while the current fault pauses this direction, and for proxyDelay
 // under FaultDelay. It returns false if the proxy was closed meanwhile.
 func (p *proxy) waitToForward(directionFault ConnectionFault) bool {
 	if p.currentFault() == FaultDelay {
--- a/cmd/soak/soak.go
+++ b/cmd/soak/soak.go
@@ -16,7 +16,8 @@
 	// Program is the path of the node's executable. Directory is where settings and
 	// logs are written.
 	Program, Directory string
-	// Seed determines which faults are injected and when.
+	// Seed determines which faults are injected and when. A multiple of 4 gives a run
+	// with only planned stops and configuration changes.
 	Seed uint64
 	// Nodes is the number of node processes; zero means 4.
 	Nodes int
@@ -30,7 +31,7 @@
 type Report struct {
 	Seed uint64
 	// PlannedOnly is set if the run had only planned stops and configuration changes,
-	// which may not abort any request.
+	// which must not abort any request.
 	PlannedOnly bool
 	// Faults counts the injected faults by name.
 	Faults map[string]int
@@ -51,8 +52,8 @@
 	// minServedShare is the fraction of them that must be served.
 	recoveredWindow = 2 * time.Second
 	minServedShare  = 0.95
-	// drainTime is the wait after the last request, during which requests that have
-	// started may still run.
+	// drainTime is the wait after the last request, in which requests that have
+	// started can still complete.
 	drainTime = callerDeadline + 500*time.Millisecond
 )
 
@@ -196,8 +197,9 @@
 	}
 }
 
-// stopAndRestart stops a node by SIGTERM and starts it again. It reports whether the
-// node exited within the given time, or did not run; otherwise it kills the node.
+// stopAndRestart stops a node by SIGTERM and starts it again. If the node does not exit
+// within the given time, it is killed and the result is false. A node that is not
+// running is left as it is, and the result is true.
 func (r *run) stopAndRestart(n *node, within time.Duration) bool {
 	ended := n.Signal(syscall.SIGTERM)
 	if ended == nil {
@@ -223,7 +225,8 @@
 }
 
 // injectFault injects one fault, which is removed after a random duration. Faults may
-// overlap.
+// overlap: the end of a pause, of a proxy's fault or of a store failure also ends later
+// ones of the same node, proxy or store.
 func (r *run) injectFault() {
 	n := r.anyNode()
 	duration := r.randomDuration(100*time.Millisecond, 2500*time.Millisecond)
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -21,7 +21,7 @@
 	return program
 }
 
-// Guards the guarantees under overlapping faults: processes are killed, paused, stopped
+// Checks the guarantees under overlapping faults: processes are killed, paused, stopped
 // and restarted, connections are delayed, blocked in one direction, silenced and reset,
 // and the store is unavailable, while callers place orders. No order may run twice, no
 // refused request may have run, every response must be complete and the caller's own,
