--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -1,7 +1,7 @@
 // Package backend is a stand-in for a backend server. It simulates a limited number of
 // slots, service times, draining, cold starts, deadlines and cancellation, child calls,
 // load shedding, load reports that are late or wrong, range downloads and broken
-// connections, and counts the requests that it ran.
+// connections, and records the requests that it received.
 //
 // The query of a request controls its treatment: time_ms=N sets its service time in
 // milliseconds, size=N appends N bytes to the response, status=N sets the response's
@@ -55,13 +55,12 @@
 	Request        string
 	IdempotencyKey string
 	Header         http.Header
-	// Completed is false if the caller cancelled the request before the response was
-	// written.
+	// Completed is false if the request ended before the server wrote its response, for
+	// example because the caller cancelled the request.
 	Completed bool
 }
 
-// Backend is a running stand-in. Create it with New. It is safe for concurrent
-// use.
+// Backend is a running stand-in. Create it with New. It is safe for concurrent use.
 type Backend struct {
 	options  Options
 	listener net.Listener
--- a/standin/backend/control.go
+++ b/standin/backend/control.go
@@ -41,8 +41,8 @@
 	Slots   int `json:"slots"`
 }
 
-// RunCounts is the response at PathRuns: the number of requests in total, and by
-// idempotency key.
+// RunCounts is the response at PathRuns: the number of requests received in total, and
+// by idempotency key.
 type RunCounts struct {
 	Total int            `json:"total"`
 	ByKey map[string]int `json:"by_key"`
--- a/standin/hosting/store.go
+++ b/standin/hosting/store.go
@@ -24,8 +24,8 @@
 
 type rowID struct{ table, part, key string }
 
-// Store is the platform's store. Create it with NewStore. It implements
-// http.Handler and is safe for concurrent use.
+// Store is the platform's store. Create it with NewStore. It implements http.Handler and
+// is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[rowID]Row
@@ -142,21 +142,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found := []Row{}
+	rows := []Row{}
 	for id, row := range s.rows {
-		inside := id.table == q.Get("table") && id.part == q.Get("part") && id.key >= q.Get("range_start")
-		if inside && (q.Get("target") == "" || id.key < q.Get("target")) {
-			found = append(found, row)
+		matches := id.table == q.Get("table") && id.part == q.Get("part") && id.key >= q.Get("range_start")
+		if matches && (q.Get("target") == "" || id.key < q.Get("target")) {
+			rows = append(rows, row)
 		}
 	}
-	slices.SortFunc(found, func(a, b Row) int {
+	slices.SortFunc(rows, func(a, b Row) int {
 		if a.Key < b.Key {
 			return -1
 		}
 		return 1
 	})
-	more := len(found) > limit
-	s.respond(w, http.StatusOK, found[:min(limit, len(found))], more)
+	more := len(rows) > limit
+	s.respond(w, http.StatusOK, rows[:min(limit, len(rows))], more)
 }
 
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
@@ -179,10 +179,10 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		found := s.changesSince(q.Get("table"), after)
+		changes := s.changesSince(q.Get("table"), after)
 		changed := s.changed
-		if len(found) > 0 {
-			s.respond(w, http.StatusOK, found, false)
+		if len(changes) > 0 {
+			s.respond(w, http.StatusOK, changes, false)
 			s.mu.Unlock()
 			return
 		}
@@ -202,13 +202,13 @@
 
 // changesSince must be called with the lock held.
 func (s *Store) changesSince(table string, after uint64) []Row {
-	var found []Row
+	var changes []Row
 	for _, row := range s.history {
 		if row.Table == table && row.RowVersion > after {
-			found = append(found, row)
+			changes = append(changes, row)
 		}
 	}
-	return found
+	return changes
 }
 
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
@@ -230,9 +230,9 @@
 		}
 	}
 	for _, e := range t.ExpectedRevision {
-		present := s.rows[rowID{e.Table, e.Part, e.Key}]
-		if present.RowVersion != e.RowVersion {
-			s.respond(w, http.StatusPreconditionFailed, []Row{present}, false)
+		current := s.rows[rowID{e.Table, e.Part, e.Key}]
+		if current.RowVersion != e.RowVersion {
+			s.respond(w, http.StatusPreconditionFailed, []Row{current}, false)
 			return
 		}
 	}
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -12,8 +12,8 @@
 	"github.com/gorilla/mux"
 )
 
-// maximumRequest is the maximum size of a request body, in bytes.
-const maximumRequest = 16 << 20
+// maximumRequestBytes is the maximum size of a request body, in bytes.
+const maximumRequestBytes = 16 << 20
 
 // Handler serves the platform's API over HTTP. PUT /failure sets the Failure to
 // simulate.
@@ -64,7 +64,7 @@
 }
 
 func (p *Platform) servePut(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumRequest))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumRequestBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -82,7 +82,7 @@
 }
 
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumRequest)).Decode(into); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumRequestBytes)).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
