--- a/examples/deployment/deployment.go
+++ b/examples/deployment/deployment.go
@@ -17,8 +17,9 @@
 	Upstreams int
 	// Slots and Connections are the limits of each backend server.
 	Slots, Connections int
-	// Marks are the marks of the service's requests in the syntax of
-	// coltsfootctl service set.
+	// Marks are rules that give the service's requests, by method and path
+	// prefix, a priority and mark those that must run at most once. Their syntax
+	// is that of coltsfootctl service set --mark.
 	Marks []string
 }
 
--- a/examples/deployment/deployment_test.go
+++ b/examples/deployment/deployment_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	table := httptest.NewServer(platform.New().Handler())
 	t.Cleanup(table.Close)
-	w := &testDeployment{t: t}
+	td := &testDeployment{t: t}
 	for _, i := range d.Instances() {
 		s, err := settings.Load(filepath.Join("..", d.Name, i.ID+".toml"))
 		if err != nil {
@@ -65,21 +65,21 @@
 		}
 		s.Listen = settings.Listen{Callers: anyPort, Backend: anyPort, Peers: anyPort, Operators: anyPort}
 		s.PlatformURL = table.URL
-		w.addInstance(s, i)
+		td.addInstance(s, i)
 	}
-	return w
+	return td
 }
 
-func (w *testDeployment) addInstance(s settings.Settings, i deployment.Instance) {
-	w.t.Helper()
+func (td *testDeployment) addInstance(s settings.Settings, i deployment.Instance) {
+	td.t.Helper()
 	node := daemon.New(s, zap.NewNop())
-	if err := node.Start(w.t.Context()); err != nil {
-		w.t.Fatal(err)
+	if err := node.Start(td.t.Context()); err != nil {
+		td.t.Fatal(err)
 	}
-	w.nodes = append(w.nodes, node)
+	td.nodes = append(td.nodes, node)
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		w.t.Fatal(err)
+		td.t.Fatal(err)
 	}
 	server := backend.New(listener, backend.Options{
 		Announcement: upstream.Announcement{
@@ -88,27 +88,27 @@
 		NodeAddress: node.Addresses().Backend,
 		ServiceTime: time.Millisecond,
 	})
-	w.t.Cleanup(func() {
+	td.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		if err := node.Stop(ctx); err != nil {
-			w.t.Errorf("stop %s: got %v, want a graceful stop", i.ID, err)
+			td.t.Errorf("stop %s: got %v, want a graceful stop", i.ID, err)
 		}
 		server.Close()
 	})
 }
 
-func (w *testDeployment) client() coltsfootwardv1connect.OperatorServiceClient {
-	return coltsfootwardv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+w.nodes[0].Addresses().Operators)
+func (td *testDeployment) client() coltsfootwardv1connect.OperatorServiceClient {
+	return coltsfootwardv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+td.nodes[0].Addresses().Operators)
 }
 
 // eventually waits until check returns true.
-func (w *testDeployment) eventually(what string, check func() bool) {
-	w.t.Helper()
+func (td *testDeployment) eventually(what string, check func() bool) {
+	td.t.Helper()
 	deadline := time.Now().Add(time.Minute)
 	for !check() {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("timed out waiting until %s", what)
+			td.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -123,52 +123,52 @@
 func TestDeploymentsStart(t *testing.T) {
 	for _, d := range deployment.Deployments() {
 		t.Run(d.Name, func(t *testing.T) {
-			w := start(t, d)
+			td := start(t, d)
 			ctx := t.Context()
-			w.eventually("every node knows every other", func() bool {
-				status, err := w.client().Status(ctx, connect.NewRequest(&coltsfootwardv1.StatusRequest{}))
-				return err == nil && int(status.Msg.Peers) == len(w.nodes)-1
+			td.eventually("every node knows every other", func() bool {
+				status, err := td.client().Status(ctx, connect.NewRequest(&coltsfootwardv1.StatusRequest{}))
+				return err == nil && int(status.Msg.Peers) == len(td.nodes)-1
 			})
 			for _, s := range d.Services {
-				_, err := w.client().SetService(ctx, connect.NewRequest(&coltsfootwardv1.SetServiceRequest{
+				_, err := td.client().SetService(ctx, connect.NewRequest(&coltsfootwardv1.SetServiceRequest{
 					Context: change(s.Name), Service: &coltsfootwardv1.Service{Name: s.Name},
 				}))
 				if err != nil {
 					t.Fatalf("set service %s: %v", s.Name, err)
 				}
 			}
-			key := w.createOrganisation(d.Organisations[0])
+			key := td.createOrganisation(d.Organisations[0])
 			for _, s := range d.Services {
-				w.eventually("a caller of "+s.Name+" is answered", func() bool { return w.isAnswered(s.Name, key) })
+				td.eventually("a caller of "+s.Name+" is answered", func() bool { return td.isAnswered(s.Name, key) })
 			}
 		})
 	}
 }
 
-func (w *testDeployment) createOrganisation(o deployment.Organisation) string {
-	w.t.Helper()
+func (td *testDeployment) createOrganisation(o deployment.Organisation) string {
+	td.t.Helper()
 	const key = "a-key-that-only-this-test-knows"
-	_, err := w.client().SetOrganisation(w.t.Context(), connect.NewRequest(&coltsfootwardv1.SetOrganisationRequest{
+	_, err := td.client().SetOrganisation(td.t.Context(), connect.NewRequest(&coltsfootwardv1.SetOrganisationRequest{
 		Context: change(o.Name), Name: o.Name, RatePerSecond: o.Rate, Burst: int64(o.Burst),
 	}))
 	if err != nil {
-		w.t.Fatal(err)
+		td.t.Fatal(err)
 	}
-	_, err = w.client().IssueKey(w.t.Context(), connect.NewRequest(&coltsfootwardv1.IssueKeyRequest{
+	_, err = td.client().IssueKey(td.t.Context(), connect.NewRequest(&coltsfootwardv1.IssueKeyRequest{
 		Context: change(o.Name + "-key"), Id: o.Name + "-1", Organisation: o.Name, Digest: string(coltsfootward.DigestKey(key)),
 	}))
 	if err != nil {
-		w.t.Fatal(err)
+		td.t.Fatal(err)
 	}
 	return key
 }
 
-func (w *testDeployment) isAnswered(service, key string) bool {
-	w.t.Helper()
+func (td *testDeployment) isAnswered(service, key string) bool {
+	td.t.Helper()
 	path := "/" + service + "/some/page"
-	request, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+w.nodes[0].Addresses().Callers+path, nil)
+	request, err := http.NewRequestWithContext(td.t.Context(), http.MethodGet, "http://"+td.nodes[0].Addresses().Callers+path, nil)
 	if err != nil {
-		w.t.Fatal(err)
+		td.t.Fatal(err)
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
 	response, err := http.DefaultClient.Do(request)
--- a/examples/quickstart/tour/tour.go
+++ b/examples/quickstart/tour/tour.go
@@ -51,11 +51,11 @@
 }
 
 func (c *caller) sendRequests() error {
-	answered, err := c.retryUntilAnswered("/" + service + "/urea")
+	served, err := c.retryUntilServed("/" + service + "/urea")
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "\nA trader's request went through both nodes: %s, %q\n", answered.result, answered.body)
+	fmt.Fprintf(c.out, "\nA trader's request went through both nodes: %s, %q\n", served.result, served.body)
 	wrong, err := c.get("/"+service+"/urea", "no-such-key", 0)
 	if err != nil {
 		return err
@@ -67,9 +67,9 @@
 	return c.sendBurst("Slow requests, more than the slots serve in time", "/"+service+"/archive?time_ms=100", tradersKey, 5000*time.Millisecond)
 }
 
-// retryUntilAnswered retries a request until it succeeds, which is when all
-// nodes know of the backend server.
-func (c *caller) retryUntilAnswered(path string) (reply, error) {
+// retryUntilServed retries a request until it succeeds. It is refused until the
+// entry node has learnt of the backend server.
+func (c *caller) retryUntilServed(path string) (reply, error) {
 	for {
 		r, err := c.get(path, tradersKey, 0)
 		if err != nil || r.status == http.StatusOK {
