--- a/cmd/endtoend/ctl_test.go
+++ b/cmd/endtoend/ctl_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Operators' scripts branch on the exit codes.
+// Operators' scripts branch on the exit codes, so each outcome must keep its code.
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	d := startDeployment(t)
--- a/cmd/endtoend/deployment_test.go
+++ b/cmd/endtoend/deployment_test.go
@@ -14,13 +14,13 @@
 // deployment is a platform, two nodes in two failure domains, and a backend server of
 // the same service beside each node.
 type deployment struct {
-	t             *testing.T
-	platform      string
-	north, south  *nodeProcess
-	northBackend  string
-	southBackend  string
-	northUpstream *process
-	key           string
+	t                   *testing.T
+	platform            string
+	north, south        *nodeProcess
+	northBackend        string
+	southBackend        string
+	northBackendProcess *process
+	key                 string
 }
 
 const service = "quotes"
@@ -32,7 +32,7 @@
 	d := &deployment{t: t, platform: startPlatform(t)}
 	d.north = startNode(t, "north-1", "north", d.platform)
 	d.south = startNode(t, "south-1", "south", d.platform)
-	d.northBackend, d.northUpstream = startBackend(t, d.north, backendArgs...)
+	d.northBackend, d.northBackendProcess = startBackend(t, d.north, backendArgs...)
 	d.southBackend, _ = startBackend(t, d.south, backendArgs...)
 	ctl(t, d.north.operators, "service", "set", service, "--mark", "POST / normal unrepeatable")
 	ctl(t, d.north.operators, "organisation", "set", "traders", "--rate", "1000000", "--burst", "1000000")
@@ -87,7 +87,7 @@
 	return s
 }
 
-// awaitUpstreams waits until node has exactly count backend servers that are not
+// awaitUpstreams waits until node knows exactly count backend servers that are not
 // draining.
 func (d *deployment) awaitUpstreams(node *nodeProcess, count int) {
 	d.t.Helper()
@@ -102,7 +102,7 @@
 	})
 }
 
-// runs returns the counts of requests that the backend server at address has run.
+// runs returns the counts of requests that the backend server at address has received.
 func (d *deployment) runs(address string) backend.RunCounts {
 	d.t.Helper()
 	response, err := http.Get("http://" + address + backend.PathRuns)
--- a/cmd/endtoend/hosted_cold_test.go
+++ b/cmd/endtoend/hosted_cold_test.go
@@ -23,8 +23,8 @@
 	})
 	before := len(evacuated.Runs())
 	for i := range 60 {
-		if a := sendHosted(nodes[i%3], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); a.status != http.StatusOK {
-			t.Errorf("request %d: got %+v, want 200", i, a)
+		if response := sendHosted(nodes[i%3], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); response.status != http.StatusOK {
+			t.Errorf("request %d: got %+v, want 200", i, response)
 		}
 	}
 	if got := len(evacuated.Runs()) - before; got > 0 {
@@ -56,9 +56,9 @@
 	before := len(nodes[0].backend.Runs())
 	began := time.Now()
 	for i := 0; time.Since(began) < time.Second; i++ {
-		a := sendHosted(nodes[0], "GET", fmt.Sprintf("/urea/%d", i), "farm-key")
-		if a.status != http.StatusOK && (a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "") {
-			t.Fatalf("got %+v, want 200, or 503 with Retry-After", a)
+		response := sendHosted(nodes[0], "GET", fmt.Sprintf("/urea/%d", i), "farm-key")
+		if response.status != http.StatusOK && (response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "") {
+			t.Fatalf("got %+v, want 200, or 503 with Retry-After", response)
 		}
 	}
 	if got := len(nodes[0].backend.Runs()) - before; got > perSecond+2 {
--- a/cmd/endtoend/hosted_test.go
+++ b/cmd/endtoend/hosted_test.go
@@ -166,9 +166,9 @@
 
 func TestHostedRequest(t *testing.T) {
 	_, nodes := startHosted(t, 3)
-	a := sendHosted(nodes[0], "GET", "/urea/7?page=2", "farm-key")
-	if a.status != http.StatusOK || !strings.HasSuffix(a.body, "to /urea/7?page=2") || a.header.Get("Coltsfootward-Response-Stamp") == "" {
-		t.Fatalf("got %+v, want the backend server's answer", a)
+	response := sendHosted(nodes[0], "GET", "/urea/7?page=2", "farm-key")
+	if response.status != http.StatusOK || !strings.HasSuffix(response.body, "to /urea/7?page=2") || response.header.Get("Coltsfootward-Response-Stamp") == "" {
+		t.Fatalf("got %+v, want the backend server's answer", response)
 	}
 	var run *http.Request
 	for _, n := range nodes {
@@ -230,8 +230,8 @@
 	store, nodes := startHosted(t, 2)
 	store.Fail(http.StatusServiceUnavailable)
 	for i := range 20 {
-		if a := sendHosted(nodes[i%2], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); a.status != http.StatusOK {
-			t.Errorf("request %d: got %+v, want 200", i, a)
+		if response := sendHosted(nodes[i%2], "GET", fmt.Sprintf("/urea/%d", i), "farm-key"); response.status != http.StatusOK {
+			t.Errorf("request %d: got %+v, want 200", i, response)
 		}
 	}
 }
@@ -240,17 +240,17 @@
 // that the server is draining, whichever node callers use.
 func TestHostedDrain(t *testing.T) {
 	_, nodes := startHosted(t, 3)
-	leaving := nodes[1].backend
-	if err := leaving.Drain(); err != nil {
+	draining := nodes[1].backend
+	if err := draining.Drain(); err != nil {
 		t.Fatal(err)
 	}
-	before := len(leaving.Runs())
+	before := len(draining.Runs())
 	for i := range 60 {
-		if a := sendHosted(nodes[i%3], "POST", fmt.Sprintf("/order/%d", i), "farm-key"); a.status != http.StatusOK {
-			t.Errorf("order %d: got %+v, want 200", i, a)
+		if response := sendHosted(nodes[i%3], "POST", fmt.Sprintf("/order/%d", i), "farm-key"); response.status != http.StatusOK {
+			t.Errorf("order %d: got %+v, want 200", i, response)
 		}
 	}
-	if got := len(leaving.Runs()); got != before {
+	if got := len(draining.Runs()); got != before {
 		t.Errorf("%d requests reached the backend server after its drain was acknowledged", got-before)
 	}
 }
@@ -284,11 +284,11 @@
 					return
 				}
 				path := fmt.Sprintf("/order/%d-%d", worker, i)
-				a := sendHosted(stopping, "POST", path, "farm-key")
+				response := sendHosted(stopping, "POST", path, "farm-key")
 				mu.Lock()
 				sent++
-				if a.status != http.StatusOK || a.body != path {
-					failed = append(failed, fmt.Sprintf("%s: %d %q", path, a.status, a.body))
+				if response.status != http.StatusOK || response.body != path {
+					failed = append(failed, fmt.Sprintf("%s: %d %q", path, response.status, response.body))
 				}
 				mu.Unlock()
 			}
--- a/cmd/endtoend/input_test.go
+++ b/cmd/endtoend/input_test.go
@@ -44,23 +44,23 @@
 	request := func(head, body string) []byte {
 		return fmt.Appendf(nil, "%s\r\nHost: node\r\nConnection: close\r\n\r\n%s", head, body)
 	}
-	good := "\r\nAuthorization: Bearer " + d.key
+	authorization := "\r\nAuthorization: Bearer " + d.key
 	tests := []struct {
 		name string
 		data []byte
 		want string
 	}{
 		{"oversized header", request("GET /quotes/a HTTP/1.1\r\nX-Large: "+strings.Repeat("x", 64<<10), ""), " 431 "},
-		{"oversized body", request("POST /quotes/a HTTP/1.1\r\nContent-Length: 4194304"+good, strings.Repeat("x", 4<<20)), `"kind":"too_large"`},
+		{"oversized body", request("POST /quotes/a HTTP/1.1\r\nContent-Length: 4194304"+authorization, strings.Repeat("x", 4<<20)), `"kind":"too_large"`},
 		{"truncated request", []byte("GET /quo"), ""},
 		{"not HTTP", []byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 hello\r\n\r\n"), " 400 "},
-		{"unknown service", request("GET /nowhere/a HTTP/1.1"+good, ""), `"kind":"unknown_service"`},
-		{"no path", request("GET / HTTP/1.1"+good, ""), " 404 "},
+		{"unknown service", request("GET /nowhere/a HTTP/1.1"+authorization, ""), `"kind":"unknown_service"`},
+		{"no path", request("GET / HTTP/1.1"+authorization, ""), " 404 "},
 		{"no key", request("GET /quotes/a HTTP/1.1", ""), `"kind":"unauthenticated"`},
 		{"other scheme", request("GET /quotes/a HTTP/1.1\r\nAuthorization: Basic "+d.key, ""), `"kind":"unauthenticated"`},
 		{"malformed key", request("GET /quotes/a HTTP/1.1\r\nAuthorization: Bearer \xff\xfe "+strings.Repeat("k", 9000), ""), `"kind":"unauthenticated"`},
-		{"bad timeout", request("GET /quotes/a HTTP/1.1\r\nColtsfootward-Timeout-Ms: soon"+good, ""), `"kind":"bad_request"`},
-		{"bad attempt", request("GET /quotes/a HTTP/1.1\r\nColtsfootward-Attempt: 99999999999999999999"+good, ""), `"kind":"bad_request"`},
+		{"bad timeout", request("GET /quotes/a HTTP/1.1\r\nColtsfootward-Timeout-Ms: soon"+authorization, ""), `"kind":"bad_request"`},
+		{"bad attempt", request("GET /quotes/a HTTP/1.1\r\nColtsfootward-Attempt: 99999999999999999999"+authorization, ""), `"kind":"bad_request"`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -105,8 +105,8 @@
 			t.Errorf("got %v, want the node to end the slow connection", err)
 		}
 	}
-	if bad := c.finish(); len(bad) > 0 {
-		t.Errorf("got %d of %d callers refused, the first %s, want none", len(bad), c.count(), bad[0])
+	if failures := c.finish(); len(failures) > 0 {
+		t.Errorf("got %d of %d requests refused, the first %s, want none", len(failures), c.count(), failures[0])
 	}
 }
 
--- a/cmd/endtoend/kill_test.go
+++ b/cmd/endtoend/kill_test.go
@@ -136,19 +136,19 @@
 	t.Parallel()
 	// With few slots, the callers' own domain is saturated and requests overflow to the
 	// other domain.
-	small := []string{"--slots", "4", "--connections", "64", "--time", "5ms"}
-	d := startDeployment(t, small...)
+	fewSlots := []string{"--slots", "4", "--connections", "64", "--time", "5ms"}
+	d := startDeployment(t, fewSlots...)
 	o := startOrders(d, d.north, 12)
 	eventually(t, "the other domain's backend server has work", func() bool { return d.runs(d.southBackend).Total > 20 })
 	o.awaitMore(t, 100)
 	d.south.kill()
 	o.awaitMore(t, 200)
 	d.south = startNode(t, "south-1", "south", d.platform)
-	returned, _ := startBackend(t, d.south, small...)
+	replacement, _ := startBackend(t, d.south, fewSlots...)
 	d.awaitUpstreams(d.north, 2)
-	eventually(t, "the returned instance serves again", func() bool { return d.runs(returned).Total > 0 })
+	eventually(t, "the new backend server receives requests", func() bool { return d.runs(replacement).Total > 0 })
 	o.awaitMore(t, 100)
-	o.check(d, d.northBackend, d.southBackend, returned)
+	o.check(d, d.northBackend, d.southBackend, replacement)
 }
 
 // The entry node is killed and its callers lose their connections. No order may run
--- a/cmd/endtoend/outage_test.go
+++ b/cmd/endtoend/outage_test.go
@@ -38,8 +38,8 @@
 	if again.code != 0 || again.stdout != first.stdout {
 		t.Errorf("got %d %q for the change sent again, want 0 %q", again.code, again.stdout, first.stdout)
 	}
-	if bad := c.finish(); len(bad) > 0 {
-		t.Errorf("got %d of %d callers refused, the first %s, want none", len(bad), c.count(), bad[0])
+	if failures := c.finish(); len(failures) > 0 {
+		t.Errorf("got %d of %d requests refused, the first %s, want none", len(failures), c.count(), failures[0])
 	}
 }
 
--- a/cmd/endtoend/process_test.go
+++ b/cmd/endtoend/process_test.go
@@ -166,9 +166,9 @@
 	var address string
 	eventually(p.t, "the stand-in listens", func() bool {
 		_, rest, found := strings.Cut(p.output.String(), "listening on ")
-		line, _, whole := strings.Cut(rest, "\n")
+		line, _, complete := strings.Cut(rest, "\n")
 		address = line
-		return found && whole
+		return found && complete
 	})
 	return address
 }
--- a/cmd/endtoend/stop_test.go
+++ b/cmd/endtoend/stop_test.go
@@ -31,18 +31,18 @@
 	wait = &sync.WaitGroup{}
 	resume := make(chan struct{})
 	for i := range n {
-		started := &download{begun: make(chan struct{}), resume: resume}
-		all = append(all, started)
-		wait.Go(func() { started.err = started.run(d, node, fmt.Sprintf("log-%d", i)) })
+		dl := &download{begun: make(chan struct{}), resume: resume}
+		all = append(all, dl)
+		wait.Go(func() { dl.err = dl.run(d, node, fmt.Sprintf("log-%d", i)) })
 	}
-	for _, started := range all {
-		<-started.begun
+	for _, dl := range all {
+		<-dl.begun
 	}
 	return all, wait
 }
 
-func (o *download) run(d *deployment, node *nodeProcess, name string) error {
-	begun := sync.OnceFunc(func() { close(o.begun) })
+func (dl *download) run(d *deployment, node *nodeProcess, name string) error {
+	begun := sync.OnceFunc(func() { close(dl.begun) })
 	defer begun()
 	url := fmt.Sprintf("http://%s/%s%s%s?size=%d", node.callers, service, backend.FilePrefix, name, downloadSize)
 	want := backend.Content(name, downloadSize)
@@ -61,7 +61,7 @@
 		return fmt.Errorf("status %d: %w", response.StatusCode, err)
 	}
 	begun()
-	<-o.resume
+	<-dl.resume
 	if err := compare(response.Body, want, downloadSize-64<<10); err != nil {
 		return err
 	}
@@ -107,9 +107,9 @@
 			})
 			close(all[0].resume)
 			wait.Wait()
-			for i, finished := range all {
-				if finished.err != nil {
-					t.Errorf("download %d: got %v, want it complete", i, finished.err)
+			for i, dl := range all {
+				if dl.err != nil {
+					t.Errorf("download %d: got %v, want it complete", i, dl.err)
 				}
 			}
 			if code := node.wait(); code != 0 {
@@ -192,7 +192,7 @@
 	}
 	c.awaitMore(t, 200)
 	if failures := c.finish(); len(failures) > 0 {
-		t.Errorf("got %d of %d callers refused or cut off, the first %s, want none", len(failures), c.count(), failures[0])
+		t.Errorf("got %d of %d requests refused or aborted, the first %s, want none", len(failures), c.count(), failures[0])
 	}
 }
 
@@ -202,13 +202,13 @@
 	c := startCallers(d, d.north, 8)
 	c.awaitMore(t, 200)
 	d.setBehaviour(d.southBackend, backend.Behaviour{Draining: true})
-	eventually(t, "the leaving backend server receives nothing while 400 others are answered", func() bool {
+	eventually(t, "the draining backend server receives nothing while 400 requests are answered", func() bool {
 		before := d.runs(d.southBackend).Total
 		c.awaitMore(t, 400)
 		return d.runs(d.southBackend).Total == before
 	})
 	if failures := c.finish(); len(failures) > 0 {
-		t.Errorf("got %d of %d callers refused or cut off, the first %s, want none", len(failures), c.count(), failures[0])
+		t.Errorf("got %d of %d requests refused or aborted, the first %s, want none", len(failures), c.count(), failures[0])
 	}
 }
 
