--- a/core/admission/cold_test.go
+++ b/core/admission/cold_test.go
@@ -43,7 +43,7 @@
 }
 
 // A node that has just started does not know how many requests its predecessor has
-// sent.
+// sent, so it must assume that the full rate is used up for the first second.
 func TestColdStartAssumesFullRateBeforeBegin(t *testing.T) {
 	var s admission.ColdStart
 	s.SetRate(15, time.Hour)
--- a/core/admission/knee_test.go
+++ b/core/admission/knee_test.go
@@ -25,13 +25,13 @@
 
 type completions []completion
 
-func (e completions) Len() int           { return len(e) }
-func (e completions) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e completions) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *completions) Push(x any)        { *e = append(*e, x.(completion)) }
-func (e *completions) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h completions) Len() int           { return len(h) }
+func (h completions) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h completions) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completions) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completions) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -15,19 +15,19 @@
 // naiveQueue is a reference implementation: a list that is searched and sorted.
 type naiveQueue []admission.Request
 
-func (l naiveQueue) mostImportantLane() int {
+func (q naiveQueue) mostImportantLane() int {
 	lowest := 0
-	for i, r := range l {
-		if laneOf(r) < laneOf(l[lowest]) {
+	for i, r := range q {
+		if laneOf(r) < laneOf(q[lowest]) {
 			lowest = i
 		}
 	}
-	return laneOf(l[lowest])
+	return laneOf(q[lowest])
 }
 
-func (l naiveQueue) leastImportantLane() int {
+func (q naiveQueue) leastImportantLane() int {
 	highest := 0
-	for _, r := range l {
+	for _, r := range q {
 		highest = max(highest, laneOf(r))
 	}
 	return highest
@@ -41,9 +41,9 @@
 }
 
 // ranked returns the requests of one organisation and lane, most important first.
-func (l naiveQueue) ranked(organisation coltsfootward.OrganisationName, lane int) []admission.RequestID {
+func (q naiveQueue) ranked(organisation coltsfootward.OrganisationName, lane int) []admission.RequestID {
 	var matching naiveQueue
-	for _, r := range l {
+	for _, r := range q {
 		if r.Organisation == organisation && laneOf(r) == lane {
 			matching = append(matching, r)
 		}
@@ -58,10 +58,10 @@
 	return ids
 }
 
-func (l *naiveQueue) remove(id admission.RequestID) bool {
-	before := len(*l)
-	*l = slices.DeleteFunc(*l, func(r admission.Request) bool { return r.ID == id })
-	return len(*l) < before
+func (q *naiveQueue) remove(id admission.RequestID) bool {
+	before := len(*q)
+	*q = slices.DeleteFunc(*q, func(r admission.Request) bool { return r.ID == id })
+	return len(*q) < before
 }
 
 func drawRequest(t *rapid.T, id admission.RequestID) admission.Request {
--- a/core/configuration/store_test.go
+++ b/core/configuration/store_test.go
@@ -119,12 +119,12 @@
 
 // The platform does not answer at all. The error must say that the change may or may
 // not be stored, and how to find out.
-func TestUnavailableTableReturnsDoubtError(t *testing.T) {
+func TestUnavailableTableReturnsUnknownOutcome(t *testing.T) {
 	table := nodetest.New(1).Table
 	table.Outage = true
-	var doubt *configuration.UnknownOutcomeError
-	if _, err := submit(t, table, organisation("a", "traders", 1), 0); !errors.As(err, &doubt) {
-		t.Errorf("got %v, want a DoubtError", err)
+	var unknownOutcome *configuration.UnknownOutcomeError
+	if _, err := submit(t, table, organisation("a", "traders", 1), 0); !errors.As(err, &unknownOutcome) {
+		t.Errorf("got %v, want an UnknownOutcomeError", err)
 	}
 }
 
--- a/core/membership/benchmark_test.go
+++ b/core/membership/benchmark_test.go
@@ -55,7 +55,7 @@
 }
 
 // report calls run, which must simulate one minute, and reports the messages, bytes,
-// peers and processor time per node.
+// peers and CPU time per node.
 func report(b *testing.B, c *cluster, size int, run func()) {
 	c.countBytes, c.messages, c.bytes, c.links = true, 0, 0, make(map[[2]coltsfootward.InstanceID]bool)
 	start := time.Now()
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkReceiveGossip measures the processor time of one gossip message with the
-// maximum number of updates, at a full roster.
+// BenchmarkReceiveGossip measures the CPU time of one gossip message with the maximum
+// number of updates, at a full roster.
 func BenchmarkReceiveGossip(b *testing.B) {
 	for _, size := range []int{6000, 24000} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// BenchmarkTick measures the processor time of a tick at a full roster.
+// BenchmarkTick measures the CPU time of a tick at a full roster.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []int{6000, 24000} {
 		b.Run(fmt.Sprintf("members=%d", size), func(b *testing.B) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// BenchmarkUpstreams measures the processor time of a look-up of a service's 16 backend
-// servers at a full roster.
+// BenchmarkUpstreams measures the CPU time of a look-up of a service's 16 backend servers
+// at a full roster.
 func BenchmarkUpstreams(b *testing.B) {
 	m, _ := machineWithMembers(24000)
 	b.ResetTimer()
--- a/core/membership/broadcast_test.go
+++ b/core/membership/broadcast_test.go
@@ -23,14 +23,14 @@
 }
 
 func (b broadcast) upstreams(service coltsfootward.ServiceName) []coltsfootward.InstanceID {
-	var found []coltsfootward.InstanceID
+	var ids []coltsfootward.InstanceID
 	for id, o := range b {
 		if o.service == service && !o.draining {
-			found = append(found, id)
+			ids = append(ids, id)
 		}
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(ids)
+	return ids
 }
 
 // Members announce, drain, die and are replaced while domains are partitioned and
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -26,7 +26,7 @@
 	source  *rand.Rand
 	members []*clusterMember
 	byID    map[coltsfootward.InstanceID]*clusterMember
-	// blocked reports whether a message is lost.
+	// blocked reports whether a message between two instances is lost. Nil loses none.
 	blocked func(from, to coltsfootward.Instance) bool
 	// countBytes enables the counting of bytes and links.
 	countBytes      bool
--- a/core/membership/machine_test.go
+++ b/core/membership/machine_test.go
@@ -21,8 +21,8 @@
 }
 
 func state(m *clusterMember, id coltsfootward.InstanceID) message.MemberState {
-	found, _ := m.machine.Member(id)
-	return found.State
+	update, _ := m.machine.Member(id)
+	return update.State
 }
 
 func offers(m *clusterMember, service coltsfootward.ServiceName, id coltsfootward.InstanceID) bool {
@@ -120,7 +120,7 @@
 }
 
 // A node is paused for a minute and resumes. All its probes are overdue, although the
-// answers wait in its buffers. It must not suspect live members for that.
+// answers wait in its buffers. It must not suspect live members on that account.
 func TestPausedMemberSuspectsNobodyOnResume(t *testing.T) {
 	c := newConvergedCluster(t, 5, 1, 5)
 	resumed := c.members[2]
@@ -216,9 +216,9 @@
 	}
 }
 
-// A member has been gone for over an hour and half of the others have removed it. When
-// rosters are compared, the other half sends it to them. If they added it again, the
-// two halves would re-add it for each other for ever.
+// A member has been gone for over an hour, and half of the others have removed its entry.
+// When rosters are compared, the other half sends them the entry. If they added it again,
+// the two halves would restore the entry for each other for ever.
 func TestForgottenMemberIsNotReadded(t *testing.T) {
 	c := newConvergedCluster(t, 8, 1, 4)
 	gone := message.MemberUpdate{Announcement: c.members[1].machine.Local(), State: message.MemberGone}
@@ -251,8 +251,8 @@
 }
 
 // A node's own link is broken for three minutes. If it declared all others dead in the
-// meantime, it would spread that about its whole domain once it is connected again, and
-// each member would have to refute it.
+// meantime, it would gossip that to its whole domain once it is connected again, and each
+// member would have to refute it.
 func TestIsolatedMemberSuspectsFew(t *testing.T) {
 	c := newConvergedCluster(t, 9, 2, 25)
 	isolated := c.members[5]
--- a/core/pressure/pressure_test.go
+++ b/core/pressure/pressure_test.go
@@ -136,11 +136,11 @@
 	}
 }
 
-// Halfway through the run, the called services become five times slower, so a class
-// takes longer by that much for the same calls. Another class that makes no calls
-// keeps its service time. A fit of calls per time in service attributed some of the
-// calls to it, and half of its requests were refused for lack of capacity at a
-// service that it does not need.
+// Halfway through the run, the called services become five times slower, so the class
+// that calls them takes five times as long for the same calls. Another class, which
+// makes no calls, keeps its service time. When calls were fitted to the classes' time
+// in service, some were attributed to the second class, and half of its requests were
+// refused for lack of capacity at a service that it does not need.
 func TestCalleesWhenOneClassSlowsDown(t *testing.T) {
 	for seed := range uint64(8) {
 		source := rand.New(rand.NewPCG(seed, 11))
@@ -194,26 +194,26 @@
 
 // run offers demand, in multiples of the capacity, for d. It returns the average load
 // that reached the service in the last second, in the same unit.
-func (p *simulation) run(demand float64, d time.Duration) float64 {
+func (s *simulation) run(demand float64, d time.Duration) float64 {
 	const perStep, lag = 20, 60
 	for range int(d / simulationStep) {
-		p.now += simulationStep
+		s.now += simulationStep
 		admitted := 0
 		for range perStep {
-			rank := uint32(1)<<28 | uint32(p.source.IntN(3))<<26 | p.source.Uint32N(1<<26)
-			if _, ok := p.gates.Admit("quotes", rank); ok {
+			rank := uint32(1)<<28 | uint32(s.source.IntN(3))<<26 | s.source.Uint32N(1<<26)
+			if _, ok := s.gates.Admit("quotes", rank); ok {
 				admitted++
 			}
 		}
-		p.gates.Tick(p.now)
-		p.admitted = append(p.admitted, demand*float64(admitted)/perStep)
-		if len(p.admitted) > lag {
-			p.throttle.Observe(p.now, p.admitted[len(p.admitted)-lag])
-			p.gates.ObserveResponse(p.now, "quotes", []pressure.Report{{Service: "deep", Excess: p.throttle.Excess()}})
+		s.gates.Tick(s.now)
+		s.admitted = append(s.admitted, demand*float64(admitted)/perStep)
+		if len(s.admitted) > lag {
+			s.throttle.Observe(s.now, s.admitted[len(s.admitted)-lag])
+			s.gates.ObserveResponse(s.now, "quotes", []pressure.Report{{Service: "deep", Excess: s.throttle.Excess()}})
 		}
 	}
 	sum := 0.0
-	last := p.admitted[len(p.admitted)-100:]
+	last := s.admitted[len(s.admitted)-100:]
 	for _, x := range last {
 		sum += x
 	}
@@ -423,8 +423,8 @@
 
 // On a nearly saturated server, a class without child calls takes longer, and so do
 // the calls that other classes make from there. When the class was taken for a
-// caller, it was refused whenever the called service was saturated: a quarter of its
-// requests that could have been served.
+// caller, it was refused whenever the called service was saturated, which lost a
+// quarter of the requests that could have been served.
 func TestCalleesOnSlowServer(t *testing.T) {
 	source := rand.New(rand.NewPCG(21, 22))
 	var c pressure.Callees
@@ -503,8 +503,8 @@
 	}
 }
 
-// Guards against a server that is partly idle for seconds when its reports take twice
-// as long to show as the throttle assumes.
+// Guards against a server that is partly idle for seconds when the effect of its
+// reports shows after twice the time that the throttle assumes.
 func TestThrottleRecoversWhileServerIsIdle(t *testing.T) {
 	const lag = 2 * time.Second
 	var throttle pressure.Throttle
