--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -154,9 +154,9 @@
 	return s.closing
 }
 
-// CloseAfterResponses closes the open connections without aborting requests: a connection
-// without pending requests is closed at once, any other after its next response.
-// New connections are still served.
+// CloseAfterResponses closes the open connections without aborting requests: a
+// connection without pending requests is closed at once, any other after its next
+// response. New connections are still served.
 func (s *Server) CloseAfterResponses() {
 	for _, c := range s.openConnections() {
 		c.retire()
--- a/io/iotest/node.go
+++ b/io/iotest/node.go
@@ -67,8 +67,8 @@
 type Node struct {
 	// Instance identifies the node.
 	Instance coltsfootward.Instance
-	// CallerAddress is the address of the listener for callers, BackendAddress that of the listener
-	// for the local backend server.
+	// CallerAddress is the address of the listener for callers, BackendAddress that of
+	// the listener for the local backend server.
 	CallerAddress, BackendAddress string
 	// Loop runs the node's state machine.
 	Loop *loop.Loop
--- a/io/peer/call.go
+++ b/io/peer/call.go
@@ -28,7 +28,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Response is a peer's response: the head, and the body as a stream.
+// Response is the response to a call: the head, and the body as a stream.
 type Response struct {
 	Head   message.Response
 	stream *stream
@@ -36,20 +36,20 @@
 
 // Read implements io.Reader for the body. It returns io.EOF only after the
 // complete body, else ErrTruncated or the connection's error.
-func (a *Response) Read(p []byte) (int, error) { return a.stream.Read(p) }
+func (r *Response) Read(p []byte) (int, error) { return r.stream.Read(p) }
 
 // End returns the trailer of the response and true once the end frame has arrived.
-func (a *Response) End() (message.ResponseEnd, bool) {
+func (r *Response) End() (message.ResponseEnd, bool) {
 	select {
-	case <-a.stream.endReceived:
-		return a.stream.end, true
+	case <-r.stream.endReceived:
+		return r.stream.end, true
 	default:
 		return message.ResponseEnd{}, false
 	}
 }
 
 // Close ends the call. It sends the peer a reset if the response is incomplete.
-func (a *Response) Close() { a.stream.cancel() }
+func (r *Response) Close() { r.stream.cancel() }
 
 // cancel removes the call on this side and sends the peer a reset, unless the call
 // has ended already.
@@ -82,8 +82,8 @@
 	c.touch()
 	response, err := s.roundTrip(ctx, body)
 	if err != nil {
-		// The call is withdrawn first: one that still waits in the write queue must
-		// not be sent after Call has reported that it was not.
+		// The call is withdrawn first. If its frame is still in the write queue, the
+		// frame must not be sent after Call has reported the call as not sent.
 		sent := !s.withdraw()
 		s.cancel()
 		return nil, &CallError{Sent: sent, Err: err}
@@ -157,7 +157,7 @@
 }
 
 // Respond sends a complete response. It replaces the calls of Head, Write and End, and
-// needs one frame instead of three if the body fits into a chunk.
+// sends one frame instead of three if the body fits into a chunk.
 func (w *ResponseWriter) Respond(head message.Response, body []byte, end message.ResponseEnd) error {
 	if len(body) <= chunkSize {
 		w.ended = true
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -69,8 +69,8 @@
 	clockOffset                      clockOffset
 	// lastUsed is when a call or message was last sent, by Instant.Monotonic.
 	lastUsed time.Duration
-	// receivedSinceProbe is set once a call or message, whose age matters, has arrived
-	// since the last probe.
+	// receivedSinceProbe is set if a call or message has arrived since the last probe.
+	// The age of other frames is not used.
 	receivedSinceProbe atomic.Bool
 }
 
--- a/io/peer/dial.go
+++ b/io/peer/dial.go
@@ -16,7 +16,8 @@
 	address    string
 }
 
-// dial returns the connection to a peer and dials one if there is none.
+// dial returns the connection to a peer. It dials the peer if there is no usable
+// connection.
 func (t *Transport) dial(ctx context.Context, to coltsfootward.Instance) (*connection, error) {
 	d, created := t.lookupOrCreate(to)
 	if created {
--- a/io/peer/handshake.go
+++ b/io/peer/handshake.go
@@ -30,6 +30,7 @@
 	return t.establish(n, peerHello), reader, nil
 }
 
+// establish removes the deadline of the handshake and returns the connection for frames.
 func (t *Transport) establish(n net.Conn, peerHello hello) *connection {
 	if err := n.SetDeadline(time.Time{}); err != nil {
 		n.Close()
@@ -90,7 +91,7 @@
 }
 
 // clientHandshake exchanges hello frames on a dialled connection and checks that the
-// intended instance answers.
+// peer is the intended instance.
 func (t *Transport) clientHandshake(n net.Conn, to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
--- a/io/peer/shutdown.go
+++ b/io/peer/shutdown.go
@@ -14,10 +14,10 @@
 //
 // If a connection were closed without notice, a call sent at the same time would end
 // with an unknown outcome, although it was never executed. After a goodbye, the peer
-// opens no further calls on the connection, so that those are known not to be
-// executed, and it queues the acknowledgement behind the last call that it sent. Once
-// the acknowledgement has arrived, this node has received every call that it has to
-// answer.
+// sends no further calls on the connection: it reports them as not sent, so their
+// callers know that they were not executed. It queues the acknowledgement behind the
+// last call that it sent. Once the acknowledgement has arrived, this node has received
+// every call that it has to answer.
 func (t *Transport) announceShutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
@@ -33,9 +33,9 @@
 	}
 }
 
-// sendGoodbyes sends the goodbyes that are missing and reports whether every peer has
-// acknowledged its goodbye. It is called repeatedly, because connections whose
-// handshake was in progress are added later.
+// sendGoodbyes sends a goodbye to each peer that has not been sent one, and reports
+// whether every peer has acknowledged its goodbye. It is called repeatedly, because
+// connections whose handshake was in progress are added later.
 func (t *Transport) sendGoodbyes() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -48,7 +48,8 @@
 	// whichever side dialled it.
 	PeerConnected(peer coltsfootward.Instance)
 	PeerLost(peer coltsfootward.Instance)
-	// FrameRejected reports that the remote address sent bytes that are not a valid frame.
+	// FrameRejected reports that the remote address sent bytes that are not a valid frame
+	// or that violate the protocol.
 	FrameRejected(address string, err error)
 }
 
@@ -131,9 +132,9 @@
 	t.calls.Close()
 }
 
-// Shutdown announces the shutdown to every peer, waits until the calls being served
-// have been answered, and waits until the peers have received everything that was
-// queued for them, or until ctx ends. Call it before Close for a stop that truncates no
+// Shutdown announces the shutdown to every peer. It then waits until the calls being
+// served have been answered and the peers have received everything that was queued for
+// them. It returns early if ctx ends. Call it before Close for a stop that truncates no
 // response: the last bytes of a response may still be in a write queue when the node's
 // state machine has finished all requests.
 func (t *Transport) Shutdown(ctx context.Context) {
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -58,8 +58,8 @@
 	pool        *pool
 }
 
-// New returns a server with default options. It has no backend server until Use or
-// UseBackend is called, or one announces itself.
+// New returns a server with default options. It has no backend server until SetBackend
+// or SetNamedBackend is called or a backend server announces itself.
 func New(l *loop.Loop, clock *loop.Clock) *Server {
 	return NewWithOptions(l, clock, Options{})
 }
@@ -73,8 +73,8 @@
 	return &Server{loop: l, clock: clock, options: options}
 }
 
-// SetBackend directs requests to the backend server at address, an IP address and port, over
-// the given maximum number of connections. Running requests are not affected.
+// SetBackend directs requests to the backend server at address, an IP address and port,
+// over the given maximum number of connections. Running requests are not affected.
 func (s *Server) SetBackend(address string, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +87,8 @@
 	s.pool = newPool(address, connections)
 }
 
-// SetNamedBackend is like Use for a backend server with a name. Connections to an earlier
-// backend server at the same address are not reused.
+// SetNamedBackend is like SetBackend for a backend server with a name. Connections to an
+// earlier backend server at the same address are not reused.
 func (s *Server) SetNamedBackend(name, address string, connections int) {
 	s.mu.Lock()
 	if s.backendName != name && s.pool != nil {
--- a/io/wire/limit.go
+++ b/io/wire/limit.go
@@ -9,7 +9,7 @@
 var ErrTooLarge = errors.New("wire: header larger than allowed: send a smaller one")
 
 // LimitedReader limits how many bytes are read from a connection while a header is
-// read. Without a call of Bound, it has no limit. It is not safe for concurrent use.
+// read. It has no limit until SetLimit is called. It is not safe for concurrent use.
 type LimitedReader struct {
 	Source    io.Reader
 	remaining int64
--- a/io/wire/wire.go
+++ b/io/wire/wire.go
@@ -17,7 +17,7 @@
 	Deadline string
 	// Stamp marks the responses that a backend server has produced itself.
 	Stamp string
-	// Organisation tells the backend server which organisation a request belongs to.
+	// Organisation names, to the backend server, the organisation of a request.
 	Organisation string
 	// Expected identifies the backend server that a request is intended for.
 	Expected string
@@ -35,9 +35,9 @@
 	Cold string
 }
 
-// IsResponseTo reports whether a response was produced by the backend server for the request
-// with the given ID. A surplus response on a keep-alive connection carries another ID,
-// and a success without the stamp was produced by another program.
+// IsResponseTo reports whether a response was produced by the backend server for the
+// request with the given ID. A surplus response on a keep-alive connection carries
+// another ID, and a success without the stamp was produced by another program.
 func (f Fields) IsResponseTo(request string, status int, h http.Header) bool {
 	if id := h.Get(f.Request); id != "" && id != request {
 		return false
@@ -101,8 +101,8 @@
 	return false
 }
 
-// ResponseFields returns the header fields of a backend server's response that are relayed
-// to the caller: all except the hop-by-hop fields and those meant for the node.
+// ResponseFields returns the header fields of a backend server's response that are
+// relayed to the caller: all except the hop-by-hop fields and those meant for the node.
 func (f Fields) ResponseFields(h http.Header) map[string][]string {
 	relayed := make(map[string][]string, len(h))
 	for name, values := range h {
