--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -16,8 +16,8 @@
 	// VerdictAccepted means that the heartbeat is the newest one of the backend
 	// server and now determines its state.
 	VerdictAccepted Verdict = "taken"
-	// VerdictStale means that the heartbeat is stale: a later one of the same
-	// start was accepted before, its start has announced its end, or it
+	// VerdictStale means that a later heartbeat of the same start was accepted
+	// before, that the start has announced its end, or that the heartbeat
 	// announces the end of a server that is not the current one.
 	VerdictStale Verdict = "old"
 	// VerdictForeign means that the heartbeat belongs to a backend server other
@@ -30,11 +30,11 @@
 // steps are a few seconds.
 const startSkew = 10 * time.Second
 
-// Tracker tracks the state of the backend server beside one node by its
-// heartbeats. The zero value has accepted no heartbeat and accepts any. It is
-// not safe for concurrent use.
+// Tracker determines the state of the backend server beside one node from the
+// server's heartbeats. The zero value has accepted no heartbeat and accepts any.
+// It is not safe for concurrent use.
 //
-// Tracker rejects heartbeats that were delayed on their way or come from
+// A Tracker rejects heartbeats that were delayed on their way or come from
 // another server. Accepting one would route requests to a server that has
 // ended, or stop requests to a healthy one.
 type Tracker struct {
@@ -53,62 +53,62 @@
 }
 
 // Current returns the state of the backend server, or false if none is known.
-func (m *Tracker) Current() (coltsfootward.Heartbeat, bool) { return m.current, m.known }
+func (t *Tracker) Current() (coltsfootward.Heartbeat, bool) { return t.current, t.known }
 
 // Apply checks a heartbeat and applies it if it is accepted.
-func (m *Tracker) Apply(h coltsfootward.Heartbeat) Verdict {
+func (t *Tracker) Apply(h coltsfootward.Heartbeat) Verdict {
 	if h.State == coltsfootward.BackendGone {
-		return m.applyEnd(h)
+		return t.applyEnd(h)
 	}
-	if !m.matches(h) {
+	if !t.matches(h) {
 		return VerdictForeign
 	}
-	if m.isFromEndedStart(h) {
+	if t.isFromEndedStart(h) {
 		return VerdictStale
 	}
-	if m.fromHealthCheck {
-		m.fromHealthCheck = false
-		m.known = false
+	if t.fromHealthCheck {
+		t.fromHealthCheck = false
+		t.known = false
 	}
-	if m.known && m.isSameStart(h) {
-		return m.applyNext(h)
+	if t.known && t.isSameStart(h) {
+		return t.applyNext(h)
 	}
-	if m.known && !m.isLaterStart(h) {
+	if t.known && !t.isLaterStart(h) {
 		return VerdictForeign
 	}
-	m.current = h
-	m.known = true
+	t.current = h
+	t.known = true
 	return VerdictAccepted
 }
 
-func (m *Tracker) matches(h coltsfootward.Heartbeat) bool {
-	return (m.Service == "" || h.Service == m.Service) && (m.Address == "" || h.Address == m.Address)
+func (t *Tracker) matches(h coltsfootward.Heartbeat) bool {
+	return (t.Service == "" || h.Service == t.Service) && (t.Address == "" || h.Address == t.Address)
 }
 
-func (m *Tracker) isSameStart(h coltsfootward.Heartbeat) bool {
-	return h.ID == m.current.ID && h.StartedAt.Equal(m.current.StartedAt)
+func (t *Tracker) isSameStart(h coltsfootward.Heartbeat) bool {
+	return h.ID == t.current.ID && h.StartedAt.Equal(t.current.StartedAt)
 }
 
 // isLaterStart reports whether a heartbeat belongs to a later start than the
 // current one.
-func (m *Tracker) isLaterStart(h coltsfootward.Heartbeat) bool {
-	if h.StartedAt.IsZero() || m.current.StartedAt.IsZero() {
-		return h.ID != m.current.ID
+func (t *Tracker) isLaterStart(h coltsfootward.Heartbeat) bool {
+	if h.StartedAt.IsZero() || t.current.StartedAt.IsZero() {
+		return h.ID != t.current.ID
 	}
-	return h.StartedAt.After(m.current.StartedAt.Add(-startSkew)) && (h.ID != m.current.ID || h.StartedAt.After(m.current.StartedAt))
+	return h.StartedAt.After(t.current.StartedAt.Add(-startSkew)) && (h.ID != t.current.ID || h.StartedAt.After(t.current.StartedAt))
 }
 
 // applyNext applies a further heartbeat of the current start. A server that has
 // announced that it leaves never becomes ready again within the same start, so
 // a later "ready" is a delayed heartbeat.
-func (m *Tracker) applyNext(h coltsfootward.Heartbeat) Verdict {
-	if h.Sequence <= m.current.Sequence || m.current.State != coltsfootward.BackendReady && h.State == coltsfootward.BackendReady {
+func (t *Tracker) applyNext(h coltsfootward.Heartbeat) Verdict {
+	if h.Sequence <= t.current.Sequence || t.current.State != coltsfootward.BackendReady && h.State == coltsfootward.BackendReady {
 		return VerdictStale
 	}
-	if m.current.State == coltsfootward.BackendGone {
+	if t.current.State == coltsfootward.BackendGone {
 		return VerdictStale
 	}
-	m.current = h
+	t.current = h
 	return VerdictAccepted
 }
 
@@ -117,38 +117,39 @@
 // The current state is not enough to detect this: after a health check, which
 // reports no start time, any heartbeat would be accepted as that of a new
 // start, and requests would go to a server whose end has been acknowledged.
-func (m *Tracker) isFromEndedStart(h coltsfootward.Heartbeat) bool {
-	if h.StartedAt.IsZero() || m.lastEnded.StartedAt.IsZero() {
+func (t *Tracker) isFromEndedStart(h coltsfootward.Heartbeat) bool {
+	if h.StartedAt.IsZero() || t.lastEnded.StartedAt.IsZero() {
 		return false
 	}
-	if h.ID == m.lastEnded.ID {
-		return !h.StartedAt.After(m.lastEnded.StartedAt)
+	if h.ID == t.lastEnded.ID {
+		return !h.StartedAt.After(t.lastEnded.StartedAt)
 	}
-	return h.StartedAt.Before(m.lastEnded.StartedAt.Add(-startSkew))
+	return h.StartedAt.Before(t.lastEnded.StartedAt.Add(-startSkew))
 }
 
 // applyEnd processes a heartbeat by which a backend server announces its end.
-// The end of another server than the current one changes nothing, unless that
-// server is known to have started later: then the current one has ended, too.
-func (m *Tracker) applyEnd(h coltsfootward.Heartbeat) Verdict {
-	if !h.StartedAt.Before(m.lastEnded.StartedAt) {
-		m.lastEnded = h
-	}
-	if !m.known {
-		m.current = h
-		m.known = true
+// The end of a server other than the current one does not change the state,
+// unless that server is known to have started later: then the current one has
+// ended, too.
+func (t *Tracker) applyEnd(h coltsfootward.Heartbeat) Verdict {
+	if !h.StartedAt.Before(t.lastEnded.StartedAt) {
+		t.lastEnded = h
+	}
+	if !t.known {
+		t.current = h
+		t.known = true
 		return VerdictAccepted
 	}
-	current := m.current.StartedAt
+	current := t.current.StartedAt
 	newer := !h.StartedAt.IsZero() && !current.IsZero() && h.StartedAt.After(current)
-	if !newer && (h.ID != m.current.ID || !h.StartedAt.IsZero() && h.StartedAt.Before(current)) {
+	if !newer && (h.ID != t.current.ID || !h.StartedAt.IsZero() && h.StartedAt.Before(current)) {
 		return VerdictStale
 	}
-	m.fromHealthCheck = false
-	m.current.ID = h.ID
-	m.current.State = coltsfootward.BackendGone
+	t.fromHealthCheck = false
+	t.current.ID = h.ID
+	t.current.State = coltsfootward.BackendGone
 	if !h.StartedAt.IsZero() {
-		m.current.StartedAt = h.StartedAt
+		t.current.StartedAt = h.StartedAt
 	}
 	return VerdictAccepted
 }
@@ -157,12 +158,12 @@
 // backend server's name, and whether it accepts requests. It is ignored and
 // returns false once a heartbeat or a health check has been accepted, or if the
 // service or address does not match.
-func (m *Tracker) Recover(h coltsfootward.Heartbeat) bool {
-	if m.known || !m.matches(h) {
+func (t *Tracker) Recover(h coltsfootward.Heartbeat) bool {
+	if t.known || !t.matches(h) {
 		return false
 	}
-	m.current = h
-	m.known = true
-	m.fromHealthCheck = true
+	t.current = h
+	t.known = true
+	t.fromHealthCheck = true
 	return true
 }
--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -26,13 +26,13 @@
 	gone     = coltsfootward.BackendGone
 )
 
-func newMachine() *backend.Tracker {
+func newTracker() *backend.Tracker {
 	return &backend.Tracker{Service: "quotes", Address: "10.0.0.1:80"}
 }
 
-func expectVerdict(t *testing.T, m *backend.Tracker, h coltsfootward.Heartbeat, want backend.Verdict) {
+func expectVerdict(t *testing.T, tracker *backend.Tracker, h coltsfootward.Heartbeat, want backend.Verdict) {
 	t.Helper()
-	if got := m.Apply(h); got != want {
+	if got := tracker.Apply(h); got != want {
 		t.Fatalf("heartbeat %+v: got %s, want %s", h, got, want)
 	}
 }
@@ -42,24 +42,24 @@
 // heartbeat has a start time. If it were rejected as another server's, so would
 // be all later ones, until the server gave up its node.
 func TestHeartbeatAfterHealthCheckIsAccepted(t *testing.T) {
-	m := newMachine()
-	if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
+	tracker := newTracker()
+	if !tracker.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
 		t.Fatal("health check not accepted")
 	}
-	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", 0, 8, draining), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 7, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 8, draining), backend.VerdictAccepted)
 }
 
 // A backend server announces that it drains, and an earlier heartbeat arrives
 // late. Accepting the delayed one would route requests to a server that is
 // about to end.
 func TestDelayedReadyDoesNotUndoDraining(t *testing.T) {
-	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", 0, 7, draining), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictStale)
-	expectVerdict(t, m, heartbeat("a", 0, 8, ready), backend.VerdictStale)
-	if h, _ := m.Current(); h.State != draining {
+	tracker := newTracker()
+	expectVerdict(t, tracker, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 7, draining), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 6, ready), backend.VerdictStale)
+	expectVerdict(t, tracker, heartbeat("a", 0, 8, ready), backend.VerdictStale)
+	if h, _ := tracker.Current(); h.State != draining {
 		t.Fatalf("state is %s, want draining", h.State)
 	}
 }
@@ -68,12 +68,12 @@
 // its address. When the partition heals, a heartbeat of the first server
 // arrives, which has ended.
 func TestEarlierStartIsForeign(t *testing.T) {
-	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("b", 30*time.Second, 1, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", 0, 6, ready), backend.VerdictForeign)
-	expectVerdict(t, m, heartbeat("a", 0, 7, gone), backend.VerdictStale)
-	if h, _ := m.Current(); h.ID != "b" || h.State != ready {
+	tracker := newTracker()
+	expectVerdict(t, tracker, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("b", 30*time.Second, 1, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 6, ready), backend.VerdictForeign)
+	expectVerdict(t, tracker, heartbeat("a", 0, 7, gone), backend.VerdictStale)
+	if h, _ := tracker.Current(); h.ID != "b" || h.State != ready {
 		t.Fatalf("current is %+v, want b, ready", h)
 	}
 }
@@ -81,32 +81,32 @@
 // A backend server restarts under its previous name. Its sequence numbers start
 // over and must not count as old.
 func TestRestartUnderSameNameIsAccepted(t *testing.T) {
-	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 90, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictAccepted)
+	tracker := newTracker()
+	expectVerdict(t, tracker, heartbeat("a", 0, 90, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", time.Minute, 1, ready), backend.VerdictAccepted)
 }
 
 // A server that announces its end without draining first is gone, and a later
 // heartbeat of the same start does not make it ready again.
 func TestGoneIsFinal(t *testing.T) {
-	m := newMachine()
-	expectVerdict(t, m, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", 0, 6, gone), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", 0, 7, ready), backend.VerdictStale)
-	expectVerdict(t, m, heartbeat("b", time.Second, 1, ready), backend.VerdictAccepted)
+	tracker := newTracker()
+	expectVerdict(t, tracker, heartbeat("a", 0, 5, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 6, gone), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 7, ready), backend.VerdictStale)
+	expectVerdict(t, tracker, heartbeat("b", time.Second, 1, ready), backend.VerdictAccepted)
 }
 
 // A heartbeat of another sender has a service or an address that does not match
 // this node's backend server. It must not be accepted.
 func TestForeignHeartbeatIsRejected(t *testing.T) {
-	m := newMachine()
+	tracker := newTracker()
 	h := heartbeat("a", 0, 1, ready)
 	h.Service = "orders"
-	expectVerdict(t, m, h, backend.VerdictForeign)
+	expectVerdict(t, tracker, h, backend.VerdictForeign)
 	h = heartbeat("a", 0, 1, ready)
 	h.Address = "10.0.0.9:80"
-	expectVerdict(t, m, h, backend.VerdictForeign)
-	if _, known := m.Current(); known {
+	expectVerdict(t, tracker, h, backend.VerdictForeign)
+	if _, known := tracker.Current(); known {
 		t.Fatal("a foreign heartbeat was accepted")
 	}
 }
@@ -121,16 +121,16 @@
 	for _, delayed := range []coltsfootward.Heartbeat{
 		heartbeat("a", 0, 9, ready), heartbeat("a", 0, 7, ready), heartbeat("a", -time.Minute, 9, ready), heartbeat("a", 0, 10, draining),
 	} {
-		m := newMachine()
-		if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
+		tracker := newTracker()
+		if !tracker.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
 			t.Fatal("health check not accepted")
 		}
-		expectVerdict(t, m, heartbeat("a", 0, 8, gone), backend.VerdictAccepted)
-		if got := m.Apply(delayed); got == backend.VerdictAccepted {
+		expectVerdict(t, tracker, heartbeat("a", 0, 8, gone), backend.VerdictAccepted)
+		if got := tracker.Apply(delayed); got == backend.VerdictAccepted {
 			t.Errorf("delayed %+v: got %s", delayed, got)
 		}
-		expectVerdict(t, m, heartbeat("a", time.Minute, 1, ready), backend.VerdictAccepted)
-		if h, _ := m.Current(); h.State != ready {
+		expectVerdict(t, tracker, heartbeat("a", time.Minute, 1, ready), backend.VerdictAccepted)
+		if h, _ := tracker.Current(); h.State != ready {
 			t.Errorf("after a new start: state is %s, want ready", h.State)
 		}
 	}
@@ -141,14 +141,14 @@
 // start announces its end. A delayed "ready" of that start must not be mistaken
 // for a third start.
 func TestEndOfUnknownLaterStart(t *testing.T) {
-	m := newMachine()
-	if !m.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
+	tracker := newTracker()
+	if !tracker.Recover(coltsfootward.Heartbeat{ID: "a", Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready}) {
 		t.Fatal("health check not accepted")
 	}
-	expectVerdict(t, m, heartbeat("a", 0, 9, ready), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", time.Minute, 4, gone), backend.VerdictAccepted)
-	expectVerdict(t, m, heartbeat("a", time.Minute, 3, ready), backend.VerdictStale)
-	expectVerdict(t, m, heartbeat("a", 2*time.Minute, 1, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", 0, 9, ready), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", time.Minute, 4, gone), backend.VerdictAccepted)
+	expectVerdict(t, tracker, heartbeat("a", time.Minute, 3, ready), backend.VerdictStale)
+	expectVerdict(t, tracker, heartbeat("a", 2*time.Minute, 1, ready), backend.VerdictAccepted)
 }
 
 // Heartbeats of several starts of a server arrive in any order, at a node that
@@ -176,14 +176,14 @@
 			}
 		}
 		source.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		m := newMachine()
+		tracker := newTracker()
 		if source.IntN(2) == 0 {
-			m.Recover(coltsfootward.Heartbeat{ID: all[0].ID, Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready})
+			tracker.Recover(coltsfootward.Heartbeat{ID: all[0].ID, Service: "quotes", Address: "10.0.0.1:80", Slots: 4, State: ready})
 		}
 		var latestLeaving, newest time.Time
 		for i, h := range all {
-			_, wasKnown := m.Current()
-			verdict := m.Apply(h)
+			_, wasKnown := tracker.Current()
+			verdict := tracker.Apply(h)
 			if h.State == ready && h.StartedAt.After(newest) && verdict != backend.VerdictAccepted {
 				t.Fatalf("seed %d, heartbeat %d: the newest start's %+v got %s", seed, i, h, verdict)
 			}
@@ -191,7 +191,7 @@
 			if verdict != backend.VerdictForeign && h.State != ready {
 				latestLeaving = latest(latestLeaving, h.StartedAt)
 			}
-			current, known := m.Current()
+			current, known := tracker.Current()
 			if wasKnown && !known {
 				t.Fatalf("seed %d, heartbeat %d: the server is no longer known", seed, i)
 			}
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,5 +1,5 @@
 // Package clock combines a node's monotonic clock and wall clock into instants
-// by which leases and deadlines can safely be judged.
+// that are safe for checking leases and deadlines.
 package clock
 
 import (
@@ -23,9 +23,9 @@
 type Clock struct {
 	// Suspended, if not nil, returns the total time for which the machine has
 	// been suspended, or false if the system does not report it. It is called
-	// when the wall clock has jumped ahead. A clock that is set jumps, too;
-	// counting that as a suspension would end every pending request as if its
-	// deadline had passed.
+	// when the wall clock has jumped ahead. Setting the wall clock makes it jump,
+	// too; counting that as a suspension would end every pending request as if
+	// its deadline had passed.
 	Suspended func() (time.Duration, bool)
 
 	started bool
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -12,8 +12,8 @@
 )
 
 // A machine is suspended for a minute while its monotonic clock stands still.
-// By that clock the node's lease has not expired, so the node would go on
-// spending from a slot that another node has taken over.
+// By that clock the node's lease has not expired, so the node would continue to
+// grant tokens from a slot that another node has taken over.
 func TestSuspensionAdvancesExpiry(t *testing.T) {
 	var c clock.Clock
 	wall := time.Unix(1_800_000_000, 0)
