--- a/core/emulation/caller.go
+++ b/core/emulation/caller.go
@@ -11,8 +11,8 @@
 	// callerRetries is how often a caller retries a request that was not
 	// served.
 	callerRetries = 1
-	// callerBackoff is the wait before a retry unless a refusal asks for
-	// another.
+	// callerBackoff is the wait before a retry, unless a refusal contains a
+	// different one.
 	callerBackoff = 100 * time.Millisecond
 	// A caller waits for at most 1/maxWaitDivisor of its remaining time before
 	// a retry.
--- a/core/emulation/deployment.go
+++ b/core/emulation/deployment.go
@@ -38,8 +38,8 @@
 	// child calls.
 	Work time.Duration
 	// Objective is the latency up to which a response has its full worth,
-	// Deadline the total time that a caller waits, Timeout the route's own
-	// limit.
+	// Deadline the total time that a caller waits, Timeout the timeout of the
+	// route.
 	Objective, Deadline, Timeout time.Duration
 	// Worth is the value of a response within the objective, LateWorth that of
 	// a later one.
@@ -85,8 +85,9 @@
 	return total
 }
 
-// Publisher is a publisher of price bulletins. Its live quotes are the deepest
-// service and have few slots; an order makes eight calls to it.
+// Publisher returns the deployment of a publisher of price bulletins. Its live
+// quotes are the deepest service and have few slots; an order makes eight calls
+// to it.
 func Publisher() Deployment {
 	return Deployment{
 		Name:    "publisher",
@@ -110,8 +111,8 @@
 	}
 }
 
-// Consortium is a shared testing platform. A filing makes ten calls to the
-// deepest service, which has three backend servers.
+// Consortium returns the deployment of a shared testing platform. A certificate
+// makes ten calls to the deepest service, which has three backend servers.
 func Consortium() Deployment {
 	return Deployment{
 		Name:    "consortium",
@@ -135,9 +136,9 @@
 	}
 }
 
-// Fleet is a publisher of price bulletins on many small instances. Each
-// instance gets about three callers' requests per second, so it seldom receives
-// load reports of the services that those requests need.
+// Fleet returns the deployment of a publisher of price bulletins on many small
+// instances. Each instance gets about three callers' requests per second, so it
+// seldom receives load reports of the services that those requests need.
 func Fleet() Deployment {
 	return Deployment{
 		Name:    "fleet",
--- a/core/emulation/load_test.go
+++ b/core/emulation/load_test.go
@@ -99,10 +99,10 @@
 }
 
 // For six seconds the deepest service rejects 55 in 100 requests, whatever its
-// load, while callers send 1.7 times the usual rate. Callers' own requests
-// there need one response and are worth retrying first. Without that preference
-// they got 0.85 and 0.78 of their worth over the run, and all requests together
-// 0.62 and 0.56.
+// load, while callers send 1.7 times the usual rate. Requests that callers send
+// directly to that service need one response only and are worth retrying first.
+// Without that preference they got 0.85 and 0.78 of their worth over the run, and
+// all requests together 0.62 and 0.56.
 func TestRejectingServersPreferRootRequests(t *testing.T) {
 	for _, test := range []struct {
 		deployment emulation.Deployment
--- a/core/emulation/run.go
+++ b/core/emulation/run.go
@@ -13,8 +13,8 @@
 
 const (
 	host = "mesh.example"
-	// formationTime is the time before callers send requests. Nodes discover
-	// each other and load the configuration.
+	// formationTime is the time before callers send requests, in which the nodes
+	// discover each other and load the configuration.
 	formationTime = 8 * time.Second
 	// nearDelay and farDelay are the one-way network delays within a failure
 	// domain and between two domains.
@@ -36,8 +36,8 @@
 
 func (s Span) contains(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// Disturbance is the disturbance of a run: a burst of requests or faults of a
-// service. The zero value means none.
+// Disturbance describes a burst of requests and the faults of a service during
+// a run. The zero value means none.
 type Disturbance struct {
 	// Burst multiplies the rate of callers' requests during BurstSpan; zero
 	// means 1.
@@ -45,23 +45,24 @@
 	BurstSpan Span
 	// Service is the service that the following fields concern.
 	Service coltsfootward.ServiceName
-	// LostServers is how many of its backend servers are lost for good at LostAt.
+	// LostServers is how many of its backend servers are killed at LostAt and
+	// not restarted.
 	LostServers int
 	LostAt      time.Duration
 	// RejectShare is the fraction of requests that its backend servers reject
 	// during RejectSpan, whatever their load.
 	RejectShare float64
 	RejectSpan  Span
-	// FailShare is the fraction of its executions that end without a response
-	// during FailSpan.
+	// FailShare is the fraction of requests that its backend servers execute but
+	// do not answer during FailSpan.
 	FailShare float64
 	FailSpan  Span
 }
 
-// Run runs a deployment with the given time of traffic and returns the outcome.
-// The result depends only on the arguments.
-func Run(d Deployment, t Disturbance, length time.Duration, seed uint64) *Outcome {
-	w := &world{deployment: d, disturbance: t, length: length, rig: nodetest.New(seed), source: rand.New(rand.NewPCG(seed, 7))}
+// Run runs a deployment with traffic for the given length of time and returns
+// the outcome. The result depends only on the arguments.
+func Run(d Deployment, disturbance Disturbance, length time.Duration, seed uint64) *Outcome {
+	w := &world{deployment: d, disturbance: disturbance, length: length, rig: nodetest.New(seed), source: rand.New(rand.NewPCG(seed, 7))}
 	w.rig.Delay = func(from, to coltsfootward.Instance) time.Duration {
 		if from.Domain == to.Domain {
 			return nearDelay
