--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -61,7 +61,7 @@
 	var starts []time.Duration
 	for _, m := range f.nodes {
 		for _, run := range m.Backend.Runs {
-			starts = append(starts, run.Began)
+			starts = append(starts, run.Arrived)
 		}
 	}
 	slices.Sort(starts)
--- a/core/nodetest/backend.go
+++ b/core/nodetest/backend.go
@@ -13,16 +13,17 @@
 
 const statusOK = http.StatusOK
 
-// messageLoad shortens signatures.
+// messageLoad keeps signatures short.
 type messageLoad = message.Load
 
 // Run is one execution of a request by a backend server.
 type Run struct {
 	Head  message.Call
 	Token node.CallToken
-	// Began is the virtual time at which the request reached the backend server,
-	// Ended the time at which it completed, failed or was cancelled.
-	Began, Ended time.Duration
+	// Arrived is the virtual time at which the request reached the backend server,
+	// where it may still be queued. Ended is the time at which it completed, failed
+	// or was cancelled.
+	Arrived, Ended time.Duration
 	// Completed is set if the request ran to completion.
 	Completed bool
 }
@@ -103,11 +104,11 @@
 }
 
 func (b *Backend) start(a node.Dispatch) {
-	s, ok := b.member.peerCalls[a.Call]
+	p, ok := b.member.peerCalls[a.Call]
 	if !ok {
 		return
 	}
-	if b.Reject != nil && b.Reject(s.head.Head) {
+	if b.Reject != nil && b.Reject(p.head.Head) {
 		b.member.deliver(func() node.Event { return node.DispatchEnded{Call: a.Call, Kind: node.DispatchRejected} })
 		return
 	}
@@ -116,7 +117,7 @@
 		b.member.deliver(func() node.Event { return node.DispatchEnded{Call: a.Call, Kind: node.DispatchUnsent} })
 		return
 	}
-	run := &Run{Head: s.head.Head, Token: a.Token, Began: b.member.rig.Now()}
+	run := &Run{Head: p.head.Head, Token: a.Token, Arrived: b.member.rig.Now()}
 	b.Runs = append(b.Runs, run)
 	j := &job{call: a.Call, run: run}
 	if b.Children != nil {
@@ -139,17 +140,16 @@
 // Cold returns the remaining time of the backend server's cold period.
 func (b *Backend) Cold() time.Duration { return max(b.coldUntil-b.member.rig.Now(), 0) }
 
-// MaxStartsPerSecond returns the highest number of requests that reached the
-// backend server within any second, counting only requests from the given time
-// on.
-func (b *Backend) MaxStartsPerSecond(from time.Duration) int {
+// MaxArrivalsPerSecond returns the highest number of requests that reached the
+// backend server within any second from the given time on.
+func (b *Backend) MaxArrivalsPerSecond(from time.Duration) int {
 	most, first := 0, 0
 	for i, run := range b.Runs {
-		if run.Began < from {
+		if run.Arrived < from {
 			first = i + 1
 			continue
 		}
-		for run.Began-b.Runs[first].Began >= time.Second {
+		for run.Arrived-b.Runs[first].Arrived >= time.Second {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -158,7 +158,7 @@
 }
 
 func (b *Backend) overloaded() bool {
-	return b.ColdRate > 0 && b.Cold() > 0 && float64(b.MaxStartsPerSecond(b.member.rig.Now()-time.Second)) > 2*b.ColdRate
+	return b.ColdRate > 0 && b.Cold() > 0 && float64(b.MaxArrivalsPerSecond(b.member.rig.Now()-time.Second)) > 2*b.ColdRate
 }
 
 // crash aborts all requests and stops listening for crashDowntime. Unless the
@@ -266,8 +266,8 @@
 
 // failChildCall ends a request after one of its child calls failed.
 func (b *Backend) failChildCall(j *job) {
-	if s, ok := b.member.peerCalls[j.call]; ok && b.RespondsOnFailure {
-		s.status = http.StatusInternalServerError
+	if p, ok := b.member.peerCalls[j.call]; ok && b.RespondsOnFailure {
+		p.status = http.StatusInternalServerError
 		b.end(j, node.DispatchEnded{Call: j.call, Kind: node.DispatchAnswered, Failed: true})
 		return
 	}
--- a/core/nodetest/cold_test.go
+++ b/core/nodetest/cold_test.go
@@ -12,9 +12,9 @@
 const (
 	coldRate = 15
 	coldTime = 3 * time.Second
-	// maxColdStarts is the highest number of requests that may reach a cold server in
+	// maxColdArrivals is the highest number of requests that may reach a cold server in
 	// any second: one and a half times its cold rate, and a few in flight.
-	maxColdStarts = coldRate*3/2 + 8
+	maxColdArrivals = coldRate*3/2 + 8
 )
 
 func coldDocument() coltsfootward.Configuration {
@@ -69,10 +69,10 @@
 	warm := r.Now()
 	later := sendLoad(r, members, 800, 2*time.Second)
 	r.Run(time.Second)
-	// Requests that started before the server announced that it is cold don't count,
+	// Requests that reached the server before it announced that it is cold don't count,
 	// because the node cannot withdraw them.
-	if got := maxStartsWhileCold(cold, from); got > maxColdStarts {
-		t.Errorf("%d requests reached the cold server in one second, want at most %d", got, maxColdStarts)
+	if got := maxArrivalsWhileCold(cold, from); got > maxColdArrivals {
+		t.Errorf("%d requests reached the cold server in one second, want at most %d", got, maxColdArrivals)
 	}
 	if cold.Backend.Crashes > 0 {
 		t.Errorf("the cold server crashed %d times", cold.Backend.Crashes)
@@ -85,7 +85,7 @@
 	}
 	served := 0
 	for _, run := range cold.Backend.Runs {
-		if run.Began >= warm+time.Second {
+		if run.Arrived >= warm+time.Second {
 			served++
 		}
 	}
@@ -115,9 +115,9 @@
 		after := sendLoad(r, members, 1000, 2*time.Second)
 		r.Run(time.Second)
 		for _, m := range members {
-			if m.Backend.Crashes > 0 || maxStartsWhileCold(m, from) > maxColdStarts {
+			if m.Backend.Crashes > 0 || maxArrivalsWhileCold(m, from) > maxColdArrivals {
 				t.Errorf("seed %d: %s crashed %d times and got %d requests in one second, want at most %d",
-					seed, m.Instance.ID, m.Backend.Crashes, maxStartsWhileCold(m, from), maxColdStarts)
+					seed, m.Instance.ID, m.Backend.Crashes, maxArrivalsWhileCold(m, from), maxColdArrivals)
 			}
 		}
 		if got := answeredShare(after); got < 0.98 {
@@ -135,16 +135,16 @@
 	}
 }
 
-// maxStartsWhileCold returns the highest number of requests that reached the server
+// maxArrivalsWhileCold returns the highest number of requests that reached the server
 // in any second of the cold period that began at from.
-func maxStartsWhileCold(m *nodetest.Member, from time.Duration) int {
+func maxArrivalsWhileCold(m *nodetest.Member, from time.Duration) int {
 	cold := nodetest.Backend{}
 	for _, run := range m.Backend.Runs {
-		if run.Began >= from && run.Began < from+coldTime {
+		if run.Arrived >= from && run.Arrived < from+coldTime {
 			cold.Runs = append(cold.Runs, run)
 		}
 	}
-	return cold.MaxStartsPerSecond(from)
+	return cold.MaxArrivalsPerSecond(from)
 }
 
 // Guards against a crash of a server that has restarted and not announced yet that
@@ -158,9 +158,9 @@
 	m.Backend.SetCold(coldTime)
 	from := r.Now() + 50*time.Millisecond
 	sendLoad(r, members, 600, time.Second)
-	if got := m.Backend.MaxStartsPerSecond(from); got > maxColdStarts || m.Backend.Crashes > 0 {
+	if got := m.Backend.MaxArrivalsPerSecond(from); got > maxColdArrivals || m.Backend.Crashes > 0 {
 		t.Errorf("%d requests reached the restarted server in one second and it crashed %d times, want at most %d and none",
-			got, m.Backend.Crashes, maxColdStarts)
+			got, m.Backend.Crashes, maxColdArrivals)
 	}
 }
 
@@ -173,7 +173,7 @@
 	m.Backend.Fail = func(message.Call) bool { requests++; return requests%2 == 0 }
 	from := r.Now()
 	sendLoad(r, members, 100, 4*time.Second)
-	if got := m.Backend.MaxStartsPerSecond(from); got < 90 {
+	if got := m.Backend.MaxArrivalsPerSecond(from); got < 90 {
 		t.Errorf("%d requests reached a warm server in one second, want nearly all of 100", got)
 	}
 }
@@ -199,7 +199,7 @@
 	sent := sendLoad(r, members, 600, 2*time.Second)
 	r.Run(time.Second)
 	for _, m := range members {
-		if got := m.Backend.MaxStartsPerSecond(from); m.Instance.Domain == "south" && got > 0 {
+		if got := m.Backend.MaxArrivalsPerSecond(from); m.Instance.Domain == "south" && got > 0 {
 			t.Errorf("%d requests reached %s within a second, want none", got, m.Instance.ID)
 		}
 	}
@@ -218,9 +218,9 @@
 		if m.Instance.Domain != "south" {
 			continue
 		}
-		if got := m.Backend.MaxStartsPerSecond(restored); got == 0 || got > maxColdStarts || m.Backend.Crashes > 0 {
+		if got := m.Backend.MaxArrivalsPerSecond(restored); got == 0 || got > maxColdArrivals || m.Backend.Crashes > 0 {
 			t.Errorf("%s: %d requests in one second and %d crashes after its domain returned cold, want some and at most %d, no crash",
-				m.Instance.ID, got, m.Backend.Crashes, maxColdStarts)
+				m.Instance.ID, got, m.Backend.Crashes, maxColdArrivals)
 		}
 	}
 }
@@ -284,7 +284,7 @@
 		t.Errorf("got %+v, want a refusal as not run with a retry time", o)
 	}
 	for _, m := range members {
-		if m.Backend.MaxStartsPerSecond(from) > 0 {
+		if m.Backend.MaxArrivalsPerSecond(from) > 0 {
 			t.Errorf("a request reached %s", m.Instance.ID)
 		}
 	}
--- a/core/nodetest/evidence_test.go
+++ b/core/nodetest/evidence_test.go
@@ -10,9 +10,9 @@
 	"coltsfootward/core/record"
 )
 
-// missingFields looks at all records with the given code and kind of refusal and
-// returns the field names that the most complete of them lacks. The result is false
-// if there is no such record.
+// missingFields returns which of the named fields are missing in the most complete
+// record with the given code and kind of refusal. The second result is false if there
+// is no such record.
 func missingFields(members []*nodetest.Member, code record.Code, kind coltsfootward.RefusalKind, names ...string) ([]string, bool) {
 	var fewest []string
 	seen := false
@@ -125,7 +125,7 @@
 	}
 }
 
-// Guards against a refusal for want of an upstream whose record doesn't mention that
+// Guards against a refusal for lack of an upstream whose record doesn't mention that
 // operators have taken domains out of service.
 func TestRefusalRecordsNameDomainsOutOfService(t *testing.T) {
 	r, members := newColdRig(1, 1, "north", "south")
--- a/core/nodetest/holder_test.go
+++ b/core/nodetest/holder_test.go
@@ -15,7 +15,7 @@
 // domain's nodes start, slots move from the first node to the others. A node that
 // watched a slot during that time and no longer does must not trust the record that
 // it read then. Otherwise it requests tokens from the old holder, is referred to
-// the new holder, and returns to the old one.
+// the new holder, and then requests them from the old one again.
 func TestPartitionedDomainUsesItsOwnHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		r := nodetest.New(seed)
--- a/core/nodetest/link.go
+++ b/core/nodetest/link.go
@@ -85,14 +85,14 @@
 	to.nextID++
 	e.target = to
 	e.remoteCall = to.nextID
-	s := &peerCall{origin: m, call: a.Call, attempt: attempt, status: statusOK}
-	to.peerCalls[e.remoteCall] = s
+	p := &peerCall{origin: m, call: a.Call, attempt: attempt, status: statusOK}
+	to.peerCalls[e.remoteCall] = p
 	sent := m.rig.now
 	remote := e.remoteCall
 	m.afterLinkDelay(to, func() {
 		to.deliver(func() node.Event {
-			s.head = node.PeerCallArrived{Call: remote, From: m.Instance.ID, Head: a.Head, Age: m.rig.now - sent}
-			return s.head
+			p.head = node.PeerCallArrived{Call: remote, From: m.Instance.ID, Head: a.Head, Age: m.rig.now - sent}
+			return p.head
 		})
 	})
 }
@@ -109,17 +109,17 @@
 
 // sendBack runs f after the delay of the link to the call's origin. If the link
 // is partitioned, the origin observes a broken connection instead.
-func (m *Member) sendBack(s *peerCall, f func()) {
-	if !m.rig.connected(m.Instance.ID, s.origin.Instance.ID) {
-		m.breakConnection(s)
+func (m *Member) sendBack(p *peerCall, f func()) {
+	if !m.rig.connected(m.Instance.ID, p.origin.Instance.ID) {
+		m.breakConnection(p)
 		return
 	}
-	m.afterLinkDelay(s.origin, f)
+	m.afterLinkDelay(p.origin, f)
 }
 
-func (m *Member) breakConnection(s *peerCall) {
+func (m *Member) breakConnection(p *peerCall) {
 	m.rig.After(breakDetectionDelay, func() {
-		s.origin.attemptEnded(s.call, s.attempt, node.AttemptEnded{Kind: node.AttemptLost})
+		p.origin.attemptEnded(p.call, p.attempt, node.AttemptEnded{Kind: node.AttemptLost})
 	})
 }
 
@@ -145,13 +145,13 @@
 		})
 		return
 	}
-	s, ok := m.peerCalls[a.Call]
+	p, ok := m.peerCalls[a.Call]
 	if !ok {
 		return
 	}
 	delete(m.peerCalls, a.Call)
-	m.sendBack(s, func() {
-		s.origin.attemptEnded(s.call, s.attempt, node.AttemptEnded{
+	m.sendBack(p, func() {
+		p.origin.attemptEnded(p.call, p.attempt, node.AttemptEnded{
 			Kind: node.AttemptRefused, Refusal: a.Refusal, Load: a.Load, Attempts: a.Attempts,
 		})
 	})
@@ -174,32 +174,32 @@
 
 // respond sends a complete response back to the entry node and its caller.
 func (m *Member) respond(a node.EndResponse) {
-	s, ok := m.peerCalls[a.Call]
+	p, ok := m.peerCalls[a.Call]
 	if !ok {
 		return
 	}
 	delete(m.peerCalls, a.Call)
-	load := m.machine.LoadFor(s.head.Head)
-	m.sendBack(s, func() { s.origin.receiveResponse(s, m.Instance.ID, load, a) })
+	load := m.machine.LoadFor(p.head.Head)
+	m.sendBack(p, func() { p.origin.receiveResponse(p, m.Instance.ID, load, a) })
 }
 
-func (m *Member) receiveResponse(s *peerCall, by coltsfootward.InstanceID, load messageLoad, end node.EndResponse) {
-	e, ok := m.entryRequests[s.call]
-	if !ok || e.attempt != s.attempt || !m.alive {
+func (m *Member) receiveResponse(p *peerCall, by coltsfootward.InstanceID, load messageLoad, end node.EndResponse) {
+	e, ok := m.entryRequests[p.call]
+	if !ok || e.attempt != p.attempt || !m.alive {
 		return
 	}
-	delete(m.entryRequests, s.call)
+	delete(m.entryRequests, p.call)
 	m.deliver(func() node.Event {
-		return node.AttemptEnded{Call: s.call, Kind: node.AttemptAnswered, Load: load, Status: s.status}
+		return node.AttemptEnded{Call: p.call, Kind: node.AttemptAnswered, Load: load, Status: p.status}
 	})
 	m.deliver(func() node.Event {
-		return node.CallDone{Call: s.call, Attempts: end.Attempts, Needed: end.Needed, Complete: true,
-			Answer: &claim.Answer{Status: s.status, Body: []byte(by)}}
+		return node.CallDone{Call: p.call, Attempts: end.Attempts, Needed: end.Needed, Complete: true,
+			Answer: &claim.Answer{Status: p.status, Body: []byte(by)}}
 	})
 	m.endOutcome(e.outcome, func(o *Outcome) {
 		o.Done = true
 		o.Answered = true
-		o.Status = s.status
+		o.Status = p.status
 		o.By = by
 	})
 }
--- a/core/nodetest/member.go
+++ b/core/nodetest/member.go
@@ -21,13 +21,13 @@
 	// Drained is set once the node has reported that it has no work left.
 	Drained bool
 
-	rig     *Rig
-	options node.Options
-	machine *node.Node
-	boots   int
-	booted  time.Duration
-	alive   bool
-	paused  bool
+	rig      *Rig
+	options  node.Options
+	machine  *node.Node
+	boots    int
+	bootedAt time.Duration
+	alive    bool
+	paused   bool
 	// clockStopped is the total time for which the monotonic clock stood still.
 	clockStopped time.Duration
 	suspended    bool
@@ -123,7 +123,7 @@
 	m.boots++
 	m.Instance.Incarnation = coltsfootward.Incarnation(m.boots)
 	m.options.Self = m.Instance
-	m.booted = m.rig.now
+	m.bootedAt = m.rig.now
 	m.clockStopped = 0
 	m.alive = true
 	m.Drained = false
@@ -145,7 +145,7 @@
 }
 
 func (m *Member) instant() coltsfootward.Instant {
-	elapsed := m.rig.now - m.booted
+	elapsed := m.rig.now - m.bootedAt
 	clockStopped := m.clockStopped
 	if m.suspended {
 		clockStopped += m.rig.now - m.pausedAt
--- a/core/nodetest/promises_test.go
+++ b/core/nodetest/promises_test.go
@@ -123,7 +123,7 @@
 }
 
 // order sends an unrepeatable request and repeats it within 3 s through a random
-// node, as a caller does that has received no response.
+// node, as a caller without a response does.
 func (w *workload) order(t tenant) {
 	order := fmt.Sprintf("%s-order-%d", t.name, len(w.sent))
 	w.send(t, "orders", order)
@@ -259,28 +259,28 @@
 	}
 }
 
-// checkRates verifies that the root requests that started for each organisation stay
-// within its rate and burst over every time window. Child calls don't count, because
-// the root request's token covers them.
+// checkRates verifies that the root requests of each organisation that reached backend
+// servers stay within its rate and burst over every time window. Child calls don't
+// count, because the root request's token covers them.
 func (w *workload) checkRates(t *testing.T) {
 	for _, tenant := range tenants {
-		var starts []time.Duration
+		var arrivals []time.Duration
 		for _, m := range w.members {
 			for _, run := range m.Backend.Runs {
 				if run.Head.Organisation == tenant.name && run.Head.Depth == 0 {
-					starts = append(starts, run.Began)
+					arrivals = append(arrivals, run.Arrived)
 				}
 			}
 		}
-		sort.Slice(starts, func(i, j int) bool { return starts[i] < starts[j] })
-		// A token bucket that always admits a start: its debt after each start is
-		// the largest excess over the rate in any time window that ends there.
+		sort.Slice(arrivals, func(i, j int) bool { return arrivals[i] < arrivals[j] })
+		// A token bucket that admits every arrival: its debt after an arrival is the
+		// largest excess over the rate in any time window that ends there.
 		debt, last := 0.0, time.Duration(0)
-		for _, at := range starts {
+		for _, at := range arrivals {
 			debt = max(debt-tenant.rate.PerSecond*(at-last).Seconds(), 0) + 1
 			last = at
 			if debt > float64(tenant.rate.Burst)+1e-6 {
-				t.Errorf("%s: got %.2f starts over the rate at %v, want at most the burst of %d", tenant.name, debt, at, tenant.rate.Burst)
+				t.Errorf("%s: got %.2f arrivals over the rate at %v, want at most the burst of %d", tenant.name, debt, at, tenant.rate.Burst)
 				return
 			}
 		}
--- a/core/nodetest/rig.go
+++ b/core/nodetest/rig.go
@@ -21,7 +21,8 @@
 	// DefaultDelay is the one-way delay of a link.
 	DefaultDelay = 500 * time.Microsecond
 	// breakDetectionDelay is the time after which a sender notices that a link is
-	// partitioned.
+	// partitioned or that a connection has broken. A health check of the backend
+	// server takes as long.
 	breakDetectionDelay = 200 * time.Millisecond
 )
 
@@ -97,7 +98,8 @@
 	return true
 }
 
-// Partition partitions the link between two instances in both directions.
+// Partition simulates a network partition between two instances: no message and no
+// call passes in either direction until Heal.
 func (r *Rig) Partition(a, b coltsfootward.InstanceID) {
 	r.partitioned[link{a, b}] = true
 	r.partitioned[link{b, a}] = true
@@ -109,8 +111,8 @@
 	delete(r.partitioned, link{b, a})
 }
 
-// PartitionDomain partitions a failure domain from all others, and from the table as
-// well if table is set.
+// PartitionDomain partitions a failure domain from all others, and from the table
+// as well if table is set.
 func (r *Rig) PartitionDomain(domain coltsfootward.FailureDomain, table bool) {
 	r.forEachCrossingLink(domain, r.Partition)
 	if table {
--- a/core/nodetest/routed_test.go
+++ b/core/nodetest/routed_test.go
@@ -87,7 +87,7 @@
 // Guards against requests far below the rate being refused as over the rate while a
 // node drains. A draining node serves its callers for some seconds more. If it
 // released its rate slots at once, its peers would still consider it the holder,
-// and for a second no part of the rate would respond to them.
+// and no part of the rate would grant them tokens for a second.
 func TestDrainingNodeKeepsItsSlots(t *testing.T) {
 	for seed := range uint64(5) {
 		r, members := newRoutedRig(seed, 3, routedDocument(1, coltsfootward.Rate{PerSecond: 300, Burst: 300}, "quotes"), "north")
--- a/core/nodetest/start_test.go
+++ b/core/nodetest/start_test.go
@@ -13,8 +13,8 @@
 // startDomains are the failure domains of a fleet that starts.
 var startDomains = []coltsfootward.FailureDomain{"east", "north", "south", "west"}
 
-// startsPerDomain is the number of nodes in each domain.
-const startsPerDomain = 12
+// nodesPerStartDomain is the number of nodes in each domain.
+const nodesPerStartDomain = 12
 
 // documentStore is a fake of the platform's storage of the configuration document. It
 // serves each node as the node's DocumentTask demands, and counts the calls.
@@ -50,7 +50,7 @@
 	r := nodetest.New(seed)
 	var members []*nodetest.Member
 	for _, domain := range startDomains {
-		for i := range startsPerDomain {
+		for i := range nodesPerStartDomain {
 			id := coltsfootward.InstanceID(fmt.Sprintf("%s-%02d", domain, i))
 			members = append(members, r.Add(node.Options{Self: nodetest.Instance(id, domain), Domains: startDomains, Routed: true}))
 		}
@@ -78,8 +78,8 @@
 	return without
 }
 
-// Guards against several charged calls to the platform per node when a whole fleet
-// restarts.
+// Guards against several calls to the platform per node, each of which is charged, when
+// a whole fleet restarts.
 func TestFleetRestartLimitsPlatformCalls(t *testing.T) {
 	for seed := range uint64(3) {
 		r, members := newStart(seed)
--- a/core/nodetest/table.go
+++ b/core/nodetest/table.go
@@ -28,8 +28,8 @@
 	ExtraDelay time.Duration
 	// Reads and Writes count the operations that took effect.
 	Reads, Writes int
-	// SlotReads and SlotWrites count those among them that accessed the slots'
-	// records; a scan is not counted.
+	// SlotReads and SlotWrites count the reads and writes of the slots' records;
+	// scans are not counted.
 	SlotReads, SlotWrites int
 
 	rig                  *Rig
@@ -47,14 +47,14 @@
 	t.partitionedDomains[domain] = partitioned
 }
 
-// SetInstancePartitioned partitions one instance from the table, or restores its link to the
-// table if cut is false.
+// SetInstancePartitioned partitions one instance from the table, or restores its
+// link to the table if partitioned is false.
 func (t *Table) SetInstancePartitioned(id coltsfootward.InstanceID, partitioned bool) {
 	t.partitionedInstances[id] = partitioned
 }
 
 // perform carries out a table action of a node. The operation takes effect after
-// Slow and half of tableLatency. Its result arrives after the other half of
+// ExtraDelay and half of tableLatency. Its result arrives after the other half of
 // tableLatency; an operation without a response fails with ErrUnavailable.
 func (t *Table) perform(m *Member, action node.Action) {
 	var id node.OperationID
--- a/core/scenario/caller.go
+++ b/core/scenario/caller.go
@@ -66,7 +66,7 @@
 // candidates arrive at the peak rate, and each is accepted with the ratio of
 // the present rate to the peak rate.
 func (c *callers) scheduleArrival(o int) {
-	peak := c.scenario.calmDemand(c.deployment, o) * max(c.scenario.SurgeFactor, 1) * max(c.scenario.GreedyFactor, 1)
+	peak := c.scenario.undisturbedDemand(c.deployment, o) * max(c.scenario.SurgeFactor, 1) * max(c.scenario.GreedyFactor, 1)
 	wait := time.Duration(c.source.ExpFloat64() / peak * float64(time.Second))
 	draw := c.source.Float64()
 	c.system.after(wait, func() {
--- a/core/scenario/deployment.go
+++ b/core/scenario/deployment.go
@@ -15,10 +15,11 @@
 	Upstreams int
 	// Slots is how many requests each backend server serves at once.
 	Slots int
-	// ServiceTime is the mean time of a request in its slot, without its child
-	// call.
+	// ServiceTime is the mean time that a request occupies its slot, not
+	// counting its child call.
 	ServiceTime time.Duration
-	// Next is the service that each request calls first; empty means none.
+	// Next is the service that each request calls before its own service time;
+	// empty means none.
 	Next coltsfootward.ServiceName
 }
 
@@ -61,7 +62,7 @@
 	panic(fmt.Sprintf("scenario: no service %q in deployment %s", name, d.Name))
 }
 
-// chain returns the services that a request to the given one passes through.
+// chain returns the services that a request to the service top passes through.
 func (d Deployment) chain(top coltsfootward.ServiceName) []Service {
 	var all []Service
 	for name := top; name != ""; {
--- a/core/scenario/measure.go
+++ b/core/scenario/measure.go
@@ -8,7 +8,7 @@
 	"coltsfootward"
 )
 
-// Measures are the outcome of one run or of several for the callers.
+// Measures holds the outcome of one run, or of several together, for the callers.
 type Measures struct {
 	// Offered counts callers' requests, Answered those that were answered
 	// completely and within requestTimeout.
@@ -25,8 +25,8 @@
 	// CriticalAnswered those of them that were answered.
 	Critical, CriticalAnswered int
 	// Recovery is how long after the end of the disturbance the goodput, as a
-	// share of the demand, stays below 95% of its share before. Recovered is
-	// false if it stays below until the end of the run.
+	// share of the demand, stays below 95% of its value before the disturbance.
+	// Recovered is false if it stays below until the end of the run.
 	Recovery  time.Duration
 	Recovered bool
 	// Organisations is the outcome for each organisation.
@@ -141,7 +141,7 @@
 	m.Offered, m.Answered = c.count(disturbanceStart, runEnd, func(*callerRequest) bool { return true })
 	_, m.DisturbanceAnswered = c.count(disturbanceStart, disturbanceEnd, func(*callerRequest) bool { return true })
 	m.Critical, m.CriticalAnswered = c.count(disturbanceStart, runEnd, func(req *callerRequest) bool { return req.critical })
-	m.Started = c.system.servicesStarted()
+	m.Started = c.system.executionsStarted()
 	m.Useful = m.Answered * len(c.deployment.chain(c.scenario.entryService(c.deployment)))
 	m.Recovery, m.Recovered = c.recovery()
 	c.measureOrganisations(&m)
@@ -167,10 +167,10 @@
 // with those that it offered within its rate.
 func (c *callers) measureOrganisations(m *Measures) {
 	for o, organisation := range c.deployment.Organisations {
-		of := func(req *callerRequest) bool { return req.organisation == o }
+		isOwn := func(req *callerRequest) bool { return req.organisation == o }
 		share := OrganisationShare{Name: organisation.Name}
-		share.InRate, _ = c.count(disturbanceStart, runEnd, func(req *callerRequest) bool { return of(req) && req.inRate })
-		_, share.Answered = c.count(disturbanceStart, runEnd, of)
+		share.InRate, _ = c.count(disturbanceStart, runEnd, func(req *callerRequest) bool { return isOwn(req) && req.inRate })
+		_, share.Answered = c.count(disturbanceStart, runEnd, isOwn)
 		m.Organisations = append(m.Organisations, share)
 		m.InRate += share.InRate
 		m.InRateRefused += max(share.InRate-share.Answered, 0)
--- a/core/scenario/naive.go
+++ b/core/scenario/naive.go
@@ -108,10 +108,10 @@
 		n.after(delay, func() { done(false) })
 		return
 	}
-	start := to.incarnation
+	incarnation := to.incarnation
 	n.after(delay, func() {
 		to.queue = append(to.queue, func() {
-			n.serve(to, path, func(ok bool) { n.after(delay, func() { done(ok && to.incarnation == start) }) })
+			n.serve(to, path, func(ok bool) { n.after(delay, func() { done(ok && to.incarnation == incarnation) }) })
 		})
 		n.dispatch(to)
 	})
@@ -128,12 +128,12 @@
 
 // serve makes the child call and then takes the service time, both in one slot.
 func (n *naiveSystem) serve(s *naiveServer, path string, done func(bool)) {
-	start := s.incarnation
+	incarnation := s.incarnation
 	if n.now() >= disturbanceStart {
 		n.started++
 	}
 	end := func(ok bool) {
-		if s.incarnation != start {
+		if s.incarnation != incarnation {
 			done(false)
 			return
 		}
@@ -179,4 +179,4 @@
 
 func (n *naiveSystem) endDisturbance() { n.partitioned = false }
 
-func (n *naiveSystem) servicesStarted() int { return n.started }
+func (n *naiveSystem) executionsStarted() int { return n.started }
--- a/core/scenario/real.go
+++ b/core/scenario/real.go
@@ -120,11 +120,13 @@
 	})
 }
 
-func (m *mesh) servicesStarted() int {
+// executionsStarted counts the requests that reached a backend server, including
+// those that are still queued there.
+func (m *mesh) executionsStarted() int {
 	started := 0
 	for _, member := range m.members {
 		for _, run := range member.Backend.Runs {
-			if run.Began >= disturbanceStart {
+			if run.Arrived >= disturbanceStart {
 				started++
 			}
 		}
--- a/core/scenario/scenario.go
+++ b/core/scenario/scenario.go
@@ -6,18 +6,19 @@
 	"coltsfootward"
 )
 
-// The phases of every scenario, in order, and the times at which they end. The
-// first two are not measured: the nodes of a new deployment first agree on which of
-// them holds which state, and then callers begin to send requests. The load while
-// a deployment forms is no overload.
+// The durations of the phases of every scenario, in order, and the times at which
+// they end. The first two phases are not measured: the nodes of a new deployment
+// first agree on which of them holds which state, and then callers begin to send
+// requests. The behaviour of a deployment while it forms is not an effect of
+// overload.
 const (
 	formationTime    = 40 * time.Second
 	warmUpTime       = 8 * time.Second
-	calmTime         = 3 * time.Second
+	undisturbedTime  = 3 * time.Second
 	disturbanceTime  = 4 * time.Second
 	recoveryTime     = 8 * time.Second
 	warmUpEnd        = formationTime + warmUpTime
-	disturbanceStart = warmUpEnd + calmTime
+	disturbanceStart = warmUpEnd + undisturbedTime
 	disturbanceEnd   = disturbanceStart + disturbanceTime
 	runEnd           = disturbanceEnd + recoveryTime
 )
@@ -100,7 +101,7 @@
 // demand returns the demand of an organisation at time t in requests per
 // second.
 func (s Scenario) demand(d Deployment, o int, t time.Duration) float64 {
-	perSecond := s.calmDemand(d, o)
+	perSecond := s.undisturbedDemand(d, o)
 	if !isDisturbed(t) {
 		return perSecond
 	}
@@ -117,14 +118,14 @@
 // to.
 const greedyOrganisation = 1
 
-func (s Scenario) calmDemand(d Deployment, o int) float64 {
+func (s Scenario) undisturbedDemand(d Deployment, o int) float64 {
 	return s.Demand * d.Service(d.Bottleneck).Capacity() * d.Organisations[o].Weight
 }
 
 // rate returns the rate limit of an organisation. The burst is the requests of
 // one second.
 func (s Scenario) rate(d Deployment, o int) coltsfootward.Rate {
-	perSecond := s.calmDemand(d, o) * s.RateFactor
+	perSecond := s.undisturbedDemand(d, o) * s.RateFactor
 	return coltsfootward.Rate{PerSecond: perSecond, Burst: int64(perSecond) + 1}
 }
 
--- a/core/scenario/scenario_test.go
+++ b/core/scenario/scenario_test.go
@@ -7,18 +7,18 @@
 	"coltsfootward/core/scenario"
 )
 
-// calm returns a scenario without a disturbance.
-func calm() scenario.Scenario {
+// undisturbed returns a scenario without a disturbance.
+func undisturbed() scenario.Scenario {
 	return scenario.Scenario{Name: "calm", Demand: 0.5, RateFactor: 4}
 }
 
 // Without a disturbance both variants answer everything. This shows that the
 // naive system is a fair comparison and that its model does not lose requests
 // by itself.
-func TestCalmIsAnsweredByBothVariants(t *testing.T) {
+func TestUndisturbedDemandIsAnsweredByBothVariants(t *testing.T) {
 	t.Parallel()
 	for _, v := range scenario.Variants() {
-		m := scenario.Run(calm(), scenario.Bennani(), v, 1)
+		m := scenario.Run(undisturbed(), scenario.Bennani(), v, 1)
 		if m.Offered == 0 || m.Answered != m.Offered || !m.Recovered || m.Recovery != 0 {
 			t.Errorf("%s: got %+v, want every request answered and no time to recover", v, m)
 		}
--- a/core/scenario/world.go
+++ b/core/scenario/world.go
@@ -51,9 +51,9 @@
 	// disturbance that is not a change of demand or of service time.
 	startDisturbance()
 	endDisturbance()
-	// servicesStarted returns how many executions have started at all backend
+	// executionsStarted returns how many executions have started at all backend
 	// servers since the start of the disturbance.
-	servicesStarted() int
+	executionsStarted() int
 }
 
 // The paths of requests by priority. longSuffix marks a long request.
@@ -73,7 +73,8 @@
 	}
 }
 
-// randomPath draws the priority of a request: a tenth critical, a fifth low.
+// randomPath draws the path of a request, which determines its priority and whether
+// it is long: a tenth of the requests is critical, a fifth low.
 func (s Scenario) randomPath(source *rand.Rand) string {
 	path := pathNormal
 	switch x := source.Float64(); {
