--- a/core/backend/backend_test.go
+++ b/core/backend/backend_test.go
@@ -9,14 +9,14 @@
 	"coltsfootward/core/backend"
 )
 
-var started = time.UnixMilli(1_800_000_000_000)
+var firstStart = time.UnixMilli(1_800_000_000_000)
 
 // heartbeat returns a heartbeat of a server that started at the given offset
 // from the first start.
 func heartbeat(id string, offset time.Duration, sequence uint64, state coltsfootward.BackendState) coltsfootward.Heartbeat {
 	return coltsfootward.Heartbeat{
 		ID: id, Service: "quotes", Address: "10.0.0.1:80", Slots: 4,
-		StartedAt: started.Add(offset), Sequence: sequence, State: state,
+		StartedAt: firstStart.Add(offset), Sequence: sequence, State: state,
 	}
 }
 
@@ -79,7 +79,7 @@
 }
 
 // A backend server restarts under its previous name. Its sequence numbers start
-// over and must not count as old.
+// over and must not count as stale.
 func TestRestartUnderSameNameIsAccepted(t *testing.T) {
 	tracker := newTracker()
 	expectVerdict(t, tracker, heartbeat("a", 0, 90, ready), backend.VerdictAccepted)
--- a/io/peer/hostile_test.go
+++ b/io/peer/hostile_test.go
@@ -193,8 +193,8 @@
 	})
 }
 
-// checkFrameError checks that every error on hostile bytes is a *peer.FrameError, except for
-// io.EOF between two frames.
+// checkFrameError checks that every error on hostile bytes is a *peer.FrameError, except
+// for io.EOF between two frames.
 func checkFrameError(t *testing.T, err error) {
 	t.Helper()
 	var invalid *peer.FrameError
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -123,7 +123,8 @@
 	return c.TCPConn.Read(p)
 }
 
-// transportPair is a client transport that sends calls and a server transport that serves them.
+// transportPair is a client transport that sends calls and a server transport that
+// serves them.
 type transportPair struct {
 	client, server *peer.Transport
 	instance       coltsfootward.Instance
@@ -148,8 +149,8 @@
 	return p
 }
 
-// responseBody returns the response body for a path. Its length depends on the path and is up to
-// several flow-control windows.
+// responseBody returns the response body for a path. Its length depends on the path and
+// is up to several flow-control windows.
 func responseBody(path string) []byte {
 	seed := uint64(len(path))
 	for _, r := range path {
@@ -162,8 +163,8 @@
 	return bytes.Repeat([]byte(path+"|"), size/(len(path)+1)+1)
 }
 
-// respondWithBody responds after a random time with the request's body followed by the body
-// for the path.
+// respondWithBody responds after a random time with the request's body followed by the
+// responseBody of the path.
 func respondWithBody(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	sent, err := io.ReadAll(call.Body)
 	if err != nil {
