--- a/cmd/daemon/metrics.go
+++ b/cmd/daemon/metrics.go
@@ -113,7 +113,7 @@
 	case node.RequestArrived:
 		m.arrivals[e.Call] = time.Now()
 		m.add(countRequests, 1)
-	case node.CallerLeft:
+	case node.CallCancelled:
 		if _, ok := m.arrivals[e.Call]; ok {
 			m.add(countCallersLeft, 1)
 		}
@@ -238,7 +238,7 @@
 		ShedLevel:         load.ShedLevel,
 		OutOfService:      n.OutOfService().Domains,
 		ColdMilliseconds:  cold.Remaining.Milliseconds(),
-		ColdPassed:        cold.Passed,
+		ColdPassed:        cold.Admitted,
 		ColdRefused:       cold.Refused,
 	}
 }
--- a/cmd/fleet/node.go
+++ b/cmd/fleet/node.go
@@ -14,7 +14,7 @@
 )
 
 // Options configure a node. Every field must be set, except that RetryShare and
-// RetryCapacity may be zero.
+// RetryBurst may be zero.
 type Options struct {
 	// Program is the path of the node's executable. Directory is where its settings and
 	// log are written.
@@ -32,8 +32,8 @@
 	// Grace is how long the node may run after SIGTERM. Notice is how long it still
 	// accepts callers after it has reported that it is no longer ready.
 	Grace, Notice time.Duration
-	// RetryShare and RetryCapacity limit the node's own retries.
-	RetryShare, RetryCapacity float64
+	// RetryShare and RetryBurst limit the node's own retries.
+	RetryShare, RetryBurst float64
 }
 
 // readyTimeout bounds one readiness check.
@@ -64,7 +64,7 @@
 		"backend":  table{"address": o.Backend, "service": o.Service},
 		"platform": table{"url": "http://" + o.Store},
 		"stop":     table{"grace": o.Grace.String(), "notice": o.Notice.String()},
-		"retries":  table{"share": o.RetryShare, "capacity": o.RetryCapacity},
+		"retries":  table{"share": o.RetryShare, "capacity": o.RetryBurst},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("fleet: settings of node %d: %w", o.Number, err)
--- a/cmd/settings/table.go
+++ b/cmd/settings/table.go
@@ -62,7 +62,7 @@
 		fraction("retries.share", "What all repeats at a service may be of its requests; hosted deployments only.", 0, 1,
 			func(s *Settings) *float64 { return &s.Node.RetryShare }),
 		fraction("retries.capacity", "How many retries for one service all instances of a hosted deployment together may save up.", 0, 1e6,
-			func(s *Settings) *float64 { return &s.Node.RetryCapacity }),
+			func(s *Settings) *float64 { return &s.Node.RetryBurst }),
 		duration("rate.lease_term", "How long an instance holds a slot without an answer from the platform. A longer one writes to the platform less often and leaves a lost instance's part of each rate unused for longer.", time.Second, time.Hour,
 			func(s *Settings) *time.Duration { return &s.Node.LeaseTerm }),
 		duration("rate.lease_margin", "What another instance waits beyond the term before it takes a slot over.", 100*time.Millisecond, time.Minute,
@@ -75,7 +75,7 @@
 		integer("claims.maximum", "keys", "Bounds the keys remembered for each slot that the node holds; further ones are refused as claim.", 100, 10_000_000,
 			func(s *Settings) *int { return &s.Node.MaximumClaims }),
 		integer("claims.kept_answers", "bytes", "Bounds the memory for answers kept for repeats, for each slot that the node holds.", 1, 1<<30,
-			func(s *Settings) *int { return &s.Node.RetainedAnswerBytes }),
+			func(s *Settings) *int { return &s.Node.RetainedResponseBytes }),
 
 		choice("log.level", "The least level that is logged.", []string{"debug", "info", "warn", "error"},
 			func(s *Settings) *string { return &s.Log.Level }),
--- a/cmd/soak/fleet.go
+++ b/cmd/soak/fleet.go
@@ -15,21 +15,21 @@
 var fields = hostingplatform.Fields()
 
 const (
-	host    = "soak.example"
-	service = "quotes"
+	host        = "soak.example"
+	serviceName = "quotes"
 	// poorRate and poorBurst are the rate limit, in requests per second, and the burst
 	// of the organisation poor. The rate of the organisation farm, farmRate, is never
 	// reached.
-	poorRate  = 20
-	poorBurst = 20
-	farmRate  = 5000
-	slots     = 8
-	grace     = 4 * time.Second
-	notice    = 1500 * time.Millisecond
+	poorRate     = 20
+	poorBurst    = 20
+	farmRate     = 5000
+	backendSlots = 8
+	grace        = 4 * time.Second
+	notice       = 1500 * time.Millisecond
 	// maxConnections is the maximum number of connections to one backend server.
 	maxConnections = 64
 	retryShare     = 0.2
-	retryCapacity  = 48
+	retryBurst     = 48
 )
 
 // soakFleet is a set of node processes with the store that they share.
@@ -86,20 +86,20 @@
 func (f *soakFleet) configure(version int) error {
 	return f.store.Configure(hosting.Document{
 		Version:  version,
-		Services: []hosting.Service{{Name: service, MaxConnections: maxConnections}},
+		Services: []hosting.Service{{Name: serviceName, MaxConnections: maxConnections}},
 		Organisations: []hosting.Organisation{
 			{Name: "farm", Key: "key-of-farm", Rate: farmRate, Burst: farmRate},
 			{Name: "poor", Key: "key-of-poor", Rate: poorRate, Burst: poorBurst},
 		},
 		Routes: []hosting.Route{
-			{Host: host, Name: "urea", Service: service, Idempotent: true, Priority: 1},
-			{Host: host, Name: "order", Service: service},
+			{Host: host, Name: "urea", Service: serviceName, Idempotent: true, Priority: 1},
+			{Host: host, Name: "order", Service: serviceName},
 		},
 	})
 }
 
 func (f *soakFleet) newNode(program, directory string, i int, ports fleet.Ports, onRun func(*http.Request)) (*node, error) {
-	n := &node{backend: hosting.NewBackend(fmt.Sprintf("i-%d", i), service, "", ports.Backend, slots)}
+	n := &node{backend: hosting.NewBackend(fmt.Sprintf("i-%d", i), serviceName, "", ports.Backend, backendSlots)}
 	n.backend.Serve = func(w http.ResponseWriter, r *http.Request) {
 		onRun(r)
 		time.Sleep(5 * time.Millisecond)
@@ -117,8 +117,8 @@
 	domains := []string{"north", "south"}
 	n.Node, err = fleet.NewNode(fleet.Options{
 		Program: program, Directory: directory, Number: i, Domain: domains[i%2], Domains: domains, Ports: ports,
-		Backend: n.backendProxy.address(), Service: service, Store: n.storeProxy.address(),
-		Grace: grace, Notice: notice, RetryShare: retryShare, RetryCapacity: retryCapacity,
+		Backend: n.backendProxy.address(), Service: serviceName, Store: n.storeProxy.address(),
+		Grace: grace, Notice: notice, RetryShare: retryShare, RetryBurst: retryBurst,
 	})
 	return n, err
 }
--- a/core/admission/controller.go
+++ b/core/admission/controller.go
@@ -23,10 +23,10 @@
 	// standingAfter is the time without an empty queue after which the queue counts
 	// as a standing queue instead of a burst.
 	standingAfter = 300 * time.Millisecond
-	// trialInterval is the time between two requests that are admitted as trials
-	// although their estimate exceeds the deadline. Without trials, an estimate that
+	// probeInterval is the time between two requests that are admitted as probes
+	// although their estimate exceeds the deadline. Without probes, an estimate that
 	// has become wrong would never be corrected.
-	trialInterval = 500 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
 	// overloadHold is the time after the last refusal at which an overload ends.
 	overloadHold = time.Second
 	// minRetryAfter and maxRetryAfter bound the delay after which refused callers are
@@ -81,7 +81,7 @@
 	// latest refusal, and everShed is set after the first one.
 	overloadedSince, lastShed time.Duration
 	everShed                  bool
-	lastTrial                 time.Duration
+	lastProbe                 time.Duration
 }
 
 // runningRequest is a request in service.
@@ -162,7 +162,7 @@
 	}
 	first := c.assignRank(&r)
 	wait := c.predictWait(r, first)
-	if now+wait+estimate > r.Deadline && !c.allowTrial(now, r) {
+	if now+wait+estimate > r.Deadline && !c.allowProbe(now, r) {
 		c.refuse(now, r, ReasonDeadline)
 		return
 	}
@@ -217,13 +217,13 @@
 	return time.Duration(c.queue.costAhead(r, first) / float64(max(c.Limit(), 1)) * float64(time.Second))
 }
 
-// allowTrial reports whether a request that is expected to miss its deadline is
-// admitted as a trial.
-func (c *Controller) allowTrial(now time.Duration, r Request) bool {
-	if !r.Repeatable || now-c.lastTrial < trialInterval || now >= r.Deadline {
+// allowProbe reports whether a request that is expected to miss its deadline is
+// admitted as a probe, whose service time corrects a wrong estimate.
+func (c *Controller) allowProbe(now time.Duration, r Request) bool {
+	if !r.Repeatable || now-c.lastProbe < probeInterval || now >= r.Deadline {
 		return false
 	}
-	c.lastTrial = now
+	c.lastProbe = now
 	return true
 }
 
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -111,9 +111,9 @@
 }
 
 // A server takes one second while callers wait for half a second, so its estimate
-// refuses everything. Once the server is fast again, a trial request must correct the
+// refuses everything. Once the server is fast again, a probe request must correct the
 // estimate, which would otherwise refuse requests for good.
-func TestTrialRequestCorrectsEstimate(t *testing.T) {
+func TestProbeRequestCorrectsEstimate(t *testing.T) {
 	c := admission.NewController(1)
 	now := time.Hour
 	offer := func(id admission.RequestID, timeout time.Duration) bool {
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -32,7 +32,7 @@
 	// StartBy is the time when the request's permission to start expires; zero means
 	// never.
 	StartBy time.Duration
-	// Repeatable requests may be used as trials on a server that seems too slow.
+	// Repeatable requests may be used as probes of a server that seems too slow.
 	Repeatable bool
 
 	// cost is the slot time, in seconds, that the request is expected to take.
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -56,20 +56,21 @@
 	Elsewhere Decision = "elsewhere"
 )
 
-// Answer is a complete response, retained for repeated requests with the same key.
-type Answer struct {
+// RetainedResponse is a complete response, retained for repeated requests with the
+// same key.
+type RetainedResponse struct {
 	Status int                 `msgpack:"status"`
 	Header map[string][]string `msgpack:"header"`
 	Body   []byte              `msgpack:"body"`
 }
 
 // size returns the approximate size of the response in memory, in bytes.
-func (a *Answer) size() int {
-	if a == nil {
+func (r *RetainedResponse) size() int {
+	if r == nil {
 		return 0
 	}
-	size := len(a.Body)
-	for name, values := range a.Header {
+	size := len(r.Body)
+	for name, values := range r.Header {
 		size += len(name)
 		for _, value := range values {
 			size += len(value)
@@ -87,8 +88,8 @@
 	// RetryAfter is the delay after which a retry may succeed; zero means that no
 	// retry will.
 	RetryAfter time.Duration `msgpack:"retry_after"`
-	// Answer is the first request's response if it is still retained.
-	Answer *Answer `msgpack:"answer"`
+	// Response is the first request's response if it is still retained.
+	Response *RetainedResponse `msgpack:"answer"`
 	// Execution states whether the first request ran, if it has ended.
 	Execution coltsfootward.Execution `msgpack:"execution"`
 }
@@ -106,18 +107,18 @@
 	Lifetime time.Duration
 	// MaximumClaims is the maximum number of retained claims. The default is 100,000.
 	MaximumClaims int
-	// MaximumAnswerBytes is the maximum memory for retained responses, in bytes. The
+	// RetainedResponseBytes is the maximum memory for retained responses, in bytes. The
 	// default is 16 MiB.
-	MaximumAnswerBytes int
+	RetainedResponseBytes int
 }
 
 // The defaults of Options.
 const (
-	DefaultWindow             = 10 * time.Minute
-	DefaultClockMargin        = 5 * time.Second
-	DefaultLifetime           = 30 * time.Second
-	DefaultMaximumClaims      = 100_000
-	DefaultMaximumAnswerBytes = 16 << 20
+	DefaultWindow                = 10 * time.Minute
+	DefaultClockMargin           = 5 * time.Second
+	DefaultLifetime              = 30 * time.Second
+	DefaultMaximumClaims         = 100_000
+	DefaultRetainedResponseBytes = 16 << 20
 )
 
 // retention is how long a claim stays in memory. Its request may be dispatched
@@ -138,8 +139,8 @@
 	if o.MaximumClaims <= 0 {
 		o.MaximumClaims = DefaultMaximumClaims
 	}
-	if o.MaximumAnswerBytes <= 0 {
-		o.MaximumAnswerBytes = DefaultMaximumAnswerBytes
+	if o.RetainedResponseBytes <= 0 {
+		o.RetainedResponseBytes = DefaultRetainedResponseBytes
 	}
 	return o
 }
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -27,8 +27,8 @@
 	claims map[Key]*entry
 	// order contains the claims sorted by the time they were granted.
 	order []*entry
-	// answerBytes is the size of the retained responses in bytes.
-	answerBytes int
+	// responseBytes is the size of the retained responses in bytes.
+	responseBytes int
 }
 
 // entry is one claim. It stays in order until its retention ends, even if it was
@@ -41,7 +41,7 @@
 	granted   time.Duration
 	ended     bool
 	execution coltsfootward.Execution
-	answer    *Answer
+	response  *RetainedResponse
 }
 
 // NewHolder returns the holder for a term that began at began, of a lease that
@@ -93,7 +93,7 @@
 	case e.content != r.Content:
 		return Verdict{Decision: Reused}
 	case e.ended:
-		return Verdict{Decision: AlreadyRun, Answer: e.answer, Execution: e.execution}
+		return Verdict{Decision: AlreadyRun, Response: e.response, Execution: e.execution}
 	case e.id == r.ID && now.Monotonic < e.granted+h.options.Lifetime:
 		return Verdict{Decision: Granted, Lifetime: e.granted + h.options.Lifetime - now.Monotonic}
 	default:
@@ -145,7 +145,7 @@
 // certainly did not run can be claimed again. End ignores a claim that is no longer
 // current: the message may have been delayed, and the key may have been claimed
 // again since.
-func (h *Holder) End(now coltsfootward.Instant, key Key, id ID, execution coltsfootward.Execution, answer *Answer) {
+func (h *Holder) End(now coltsfootward.Instant, key Key, id ID, execution coltsfootward.Execution, response *RetainedResponse) {
 	h.expire(now)
 	e, ok := h.claims[key]
 	if !ok || e.id != id || e.ended {
@@ -157,9 +157,9 @@
 	}
 	e.ended = true
 	e.execution = execution
-	if size := answer.size(); answer != nil && h.answerBytes+size <= h.options.MaximumAnswerBytes {
-		e.answer = answer
-		h.answerBytes += size
+	if size := response.size(); response != nil && h.responseBytes+size <= h.options.RetainedResponseBytes {
+		e.response = response
+		h.responseBytes += size
 	}
 }
 
@@ -174,7 +174,7 @@
 		if h.claims[e.key] == e {
 			delete(h.claims, e.key)
 		}
-		h.answerBytes -= e.answer.size()
+		h.responseBytes -= e.response.size()
 		h.order[count] = nil
 		count++
 	}
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -185,7 +185,7 @@
 	first := claim.Request{Key: claim.Key{Organisation: "traders", Text: "k"}, ID: "a", Content: 1}
 	repeat := claim.Request{Key: first.Key, ID: "b", Content: 1}
 	other := claim.Request{Key: first.Key, ID: "b", Content: 2}
-	answer := &claim.Answer{Status: 200, Body: []byte("lodged")}
+	response := &claim.RetainedResponse{Status: 200, Body: []byte("lodged")}
 	for _, test := range []struct {
 		name    string
 		first   bool
@@ -201,7 +201,7 @@
 		{"key for another request", true, func(h *claim.Holder) { h.Claim(start, first) }, other, time.Second, claim.Reused},
 		{"repeat after the response", true, func(h *claim.Holder) {
 			h.Claim(start, first)
-			h.End(start, first.Key, "a", coltsfootward.ExecutionRan, answer)
+			h.End(start, first.Key, "a", coltsfootward.ExecutionRan, response)
 		}, repeat, time.Second, claim.AlreadyRun},
 		{"repeat after a lost response", true, func(h *claim.Holder) {
 			h.Claim(start, first)
--- a/core/emulation/deployment.go
+++ b/core/emulation/deployment.go
@@ -56,8 +56,8 @@
 	Domains  []coltsfootward.FailureDomain
 	Services []Service
 	Classes  []Class
-	// RetryShare and RetryCapacity limit the retries of each service.
-	RetryShare, RetryCapacity float64
+	// RetryShare and RetryBurst limit the retries of each service.
+	RetryShare, RetryBurst float64
 }
 
 // class returns the class with the given name, or the zero value if there is
@@ -107,7 +107,7 @@
 			{Name: "index", Service: "publications", Work: 15 * time.Millisecond, Deadline: 2 * time.Second, Timeout: 2 * time.Second, ChildCalls: ChildCalls{Class: "feed", Count: 4}},
 			{Name: "feed", Service: "quotes", Work: 15 * time.Millisecond, Deadline: 700 * time.Millisecond, Timeout: 700 * time.Millisecond},
 		},
-		RetryShare: 0.2, RetryCapacity: 48,
+		RetryShare: 0.2, RetryBurst: 48,
 	}
 }
 
@@ -132,7 +132,7 @@
 			{Name: "calibration", Service: "logs", Work: 15 * time.Millisecond, Deadline: 2500 * time.Millisecond, Timeout: 2500 * time.Millisecond, ChildCalls: ChildCalls{Class: "tyre", Count: 5}},
 			{Name: "tyre", Service: "sections", Work: 55 * time.Millisecond, Deadline: 700 * time.Millisecond, Timeout: 700 * time.Millisecond},
 		},
-		RetryShare: 0.2, RetryCapacity: 47,
+		RetryShare: 0.2, RetryBurst: 47,
 	}
 }
 
@@ -158,6 +158,6 @@
 			{Name: "index", Service: "publications", Work: 15 * time.Millisecond, Deadline: 2 * time.Second, Timeout: 2 * time.Second, ChildCalls: ChildCalls{Class: "feed", Count: 4}},
 			{Name: "feed", Service: "quotes", Work: 57 * time.Millisecond, Deadline: 700 * time.Millisecond, Timeout: 700 * time.Millisecond},
 		},
-		RetryShare: 0.2, RetryCapacity: 100,
+		RetryShare: 0.2, RetryBurst: 100,
 	}
 }
--- a/core/emulation/run.go
+++ b/core/emulation/run.go
@@ -110,7 +110,7 @@
 			m := w.rig.Add(node.Options{
 				Self: nodetest.Instance(id, domain), Domains: w.deployment.Domains, Routed: true, Service: s.Name,
 				ConfigurationSpread: 2 * time.Second,
-				RetryShare:          w.deployment.RetryShare, RetryCapacity: w.deployment.RetryCapacity,
+				RetryShare:          w.deployment.RetryShare, RetryBurst: w.deployment.RetryBurst,
 			})
 			w.members = append(w.members, m)
 			w.services[m] = s
--- a/core/message/claim.go
+++ b/core/message/claim.go
@@ -47,9 +47,9 @@
 	Key       claim.Key               `msgpack:"key"`
 	ID        claim.ID                `msgpack:"id"`
 	Execution coltsfootward.Execution `msgpack:"execution"`
-	// Answer is the response to replay to repeated requests. It is nil if there was no
-	// response or it is too large to retain.
-	Answer *claim.Answer `msgpack:"answer"`
+	// Response is replayed to repeated requests. It is nil if there was no response or
+	// it is too large to retain.
+	Response *claim.RetainedResponse `msgpack:"answer"`
 }
 
 // MessageKind implements Message.
--- a/core/node/action.go
+++ b/core/node/action.go
@@ -53,8 +53,8 @@
 // Replay answers a repeated request with the complete response to the first
 // one. The call is over: no further event about it is expected.
 type Replay struct {
-	Call   CallID
-	Answer claim.Answer
+	Call     CallID
+	Response claim.RetainedResponse
 }
 
 // EndResponse ends a peer's call whose response is complete. Either everything
--- a/core/node/claims.go
+++ b/core/node/claims.go
@@ -27,9 +27,9 @@
 	// does not reach the holder, the holder treats the request as running until
 	// the claim's window has passed.
 	maxClaimEndSends = 25
-	// MaximumRetainedAnswerBytes is the maximum body size, in bytes, of an
-	// answer that is retained for repeated requests.
-	MaximumRetainedAnswerBytes = 16 << 10
+	// MaximumRetainedResponseBytes is the maximum body size, in bytes, of a
+	// response that is retained for repeated requests.
+	MaximumRetainedResponseBytes = 16 << 10
 )
 
 // entryClaim is a request's claim at its entry node.
@@ -195,8 +195,8 @@
 func (p *claimsComponent) refuse(call *entryCall, v claim.Verdict) {
 	call.claim = nil
 	p.node.report(record.ClaimRefused, field("request", string(call.head.Request)), field("decision", string(v.Decision)))
-	if v.Decision == claim.AlreadyRun && v.Answer != nil {
-		p.node.entry.replay(call, v.Answer)
+	if v.Decision == claim.AlreadyRun && v.Response != nil {
+		p.node.entry.replay(call, v.Response)
 		return
 	}
 	p.node.entry.finish(call, claimRefusal(v))
@@ -228,14 +228,14 @@
 
 // ended reports the end of the call to the holder. If the request certainly did
 // not run, its key becomes available again.
-func (p *claimsComponent) ended(call *entryCall, execution coltsfootward.Execution, answer *claim.Answer) {
+func (p *claimsComponent) ended(call *entryCall, execution coltsfootward.Execution, response *claim.RetainedResponse) {
 	c := call.claim
 	call.claim = nil
 	delete(p.pendingClaims, c.request.ID)
 	if c.holder.ID == "" {
 		return // the request was never sent
 	}
-	end := message.ClaimEnd{Key: c.request.Key, ID: c.request.ID, Execution: execution, Answer: answer}
+	end := message.ClaimEnd{Key: c.request.Key, ID: c.request.ID, Execution: execution, Response: response}
 	if c.holder.ID == p.node.options.Self.ID {
 		p.recordEnd(end)
 		return
@@ -254,7 +254,7 @@
 
 func (p *claimsComponent) recordEnd(m message.ClaimEnd) {
 	if h, ok := p.claimsOf(p.slotOf(m.Key)); ok {
-		h.claims.End(p.node.now, m.Key, m.ID, m.Execution, m.Answer)
+		h.claims.End(p.node.now, m.Key, m.ID, m.Execution, m.Response)
 	}
 }
 
--- a/core/node/cold.go
+++ b/core/node/cold.go
@@ -48,9 +48,9 @@
 	failures int
 	// lastCheck is when a health check was last requested.
 	lastCheck time.Duration
-	// passed counts the requests that the server was sent while cold; refused
+	// admitted counts the requests that the server was sent while cold; refused
 	// counts those that were refused because it was cold.
-	passed, refused int
+	admitted, refused int
 }
 
 // announced processes the cold time that the server reported in a heartbeat.
@@ -141,7 +141,7 @@
 func (p *coldTracker) recordStart() {
 	p.starts.Started(p.node.now.Monotonic)
 	if p.rateLimited() {
-		p.passed++
+		p.admitted++
 	}
 }
 
@@ -156,13 +156,13 @@
 type ColdStatus struct {
 	// Remaining is how much longer the server is cold, as far as the node knows.
 	Remaining time.Duration
-	// Passed counts the requests that the server was sent while cold; Refused
+	// Admitted counts the requests that the server was sent while cold; Refused
 	// counts those that were refused because it was cold.
-	Passed, Refused int
+	Admitted, Refused int
 }
 
 // Cold returns the cold state of the local backend server.
 func (n *Node) Cold() ColdStatus {
 	p := &n.upstream.cold
-	return ColdStatus{Remaining: p.remaining(), Passed: p.passed, Refused: p.refused}
+	return ColdStatus{Remaining: p.remaining(), Admitted: p.admitted, Refused: p.refused}
 }
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -134,7 +134,7 @@
 // confirmedDomains returns the failure domains that have confirmed the last
 // revision and those that have not, as reported by m to an operator.
 func (f *fleet) confirmedDomains(m *nodetest.Member) (confirmed, waiting []coltsfootward.FailureDomain) {
-	for _, d := range m.Node().InForce(f.submitted) {
+	for _, d := range m.Node().WatchRevision(f.submitted) {
 		if d.Revision >= f.submitted {
 			confirmed = append(confirmed, d.Domain)
 			continue
@@ -187,7 +187,7 @@
 		return slices.Equal(confirmed, []coltsfootward.FailureDomain{"domain-0", "domain-1"})
 	}
 	if !f.RunUntil(10*time.Second, connected) {
-		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", queried.Node().InForce(f.submitted))
+		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", queried.Node().WatchRevision(f.submitted))
 	}
 	f.Run(20 * time.Second)
 	if _, waiting := f.confirmedDomains(queried); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
@@ -196,7 +196,7 @@
 	f.HealDomain("domain-2")
 	healed := f.Now()
 	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(queried); return len(confirmed) == 3 }) {
-		t.Errorf("got %v 13 s after the partition, want all confirmed", queried.Node().InForce(f.submitted))
+		t.Errorf("got %v 13 s after the partition, want all confirmed", queried.Node().WatchRevision(f.submitted))
 	}
 	t.Logf("confirmed everywhere %v after the partition", f.Now()-healed)
 }
--- a/core/node/confirmation.go
+++ b/core/node/confirmation.go
@@ -35,7 +35,7 @@
 	// queries to a failure domain alternate between its collector and its
 	// second member.
 	maxUnansweredQueries = 4
-	// maxNamedMembers bounds the outdated members that an answer lists by name.
+	// maxNamedMembers bounds the outdated members that a reply lists by name.
 	maxNamedMembers = 10
 	// maxReminders bounds the outdated members from which a collector requests
 	// a confirmation at each query. Their confirmation may have been lost, or
@@ -49,8 +49,8 @@
 // an operator's request queries the collectors.
 //
 // A collector that has just started may know only a few members of its failure
-// domain and would answer for those alone. Answers therefore contain the number
-// of members they cover, and an answer that covers fewer members than the
+// domain and would reply for those alone. Replies therefore contain the number
+// of members they cover, and a reply that covers fewer members than the
 // querying node knows is ignored.
 type confirmationComponent struct {
 	node *Node
@@ -71,9 +71,9 @@
 	watchUntil      time.Duration
 	nextQuery       time.Duration
 	// unanswered counts the queries to each failure domain since its last
-	// answer.
+	// reply.
 	unanswered map[coltsfootward.FailureDomain]int
-	answers    map[coltsfootward.FailureDomain]message.DomainConfirmation
+	replies    map[coltsfootward.FailureDomain]message.DomainConfirmation
 }
 
 func newConfirmationComponent(n *Node) *confirmationComponent {
@@ -82,7 +82,7 @@
 		confirmed:    make(map[coltsfootward.InstanceID]coltsfootward.Revision),
 		pendingRelay: make(map[coltsfootward.Revision][]coltsfootward.InstanceID),
 		unanswered:   make(map[coltsfootward.FailureDomain]int),
-		answers:      make(map[coltsfootward.FailureDomain]message.DomainConfirmation),
+		replies:      make(map[coltsfootward.FailureDomain]message.DomainConfirmation),
 	}
 }
 
@@ -174,7 +174,7 @@
 	return first[position]
 }
 
-// queryReceived answers a query about the whole failure domain or about this
+// queryReceived replies to a query about the whole failure domain or about this
 // node alone.
 func (p *confirmationComponent) queryReceived(from coltsfootward.InstanceID, m message.ConfirmationQuery) {
 	if m.Domain == "" {
@@ -184,8 +184,8 @@
 	if m.Domain != p.node.options.Self.Domain {
 		return
 	}
-	answer := p.collect(m.Revision)
-	p.node.configuration.send(from, &answer)
+	reply := p.collect(m.Revision)
+	p.node.configuration.send(from, &reply)
 }
 
 // collect returns the confirmation state of the own failure domain and requests
@@ -194,7 +194,7 @@
 // their peers hold.
 func (p *confirmationComponent) collect(queried coltsfootward.Revision) message.DomainConfirmation {
 	self := p.node.options.Self
-	answer := message.DomainConfirmation{Domain: self.Domain, Queried: queried, Revision: p.node.configuration.current.Revision()}
+	reply := message.DomainConfirmation{Domain: self.Domain, Queried: queried, Revision: p.node.configuration.current.Revision()}
 	reminded := 0
 	for _, member := range p.node.membership.roster(self.Domain) {
 		id := member.Announcement.Instance.ID
@@ -205,27 +205,27 @@
 		if member.State == message.MemberGone {
 			continue
 		}
-		answer.Members++
-		answer.Revision = min(answer.Revision, revision)
+		reply.Members++
+		reply.Revision = min(reply.Revision, revision)
 		if revision >= queried {
 			continue
 		}
-		if len(answer.Behind) < maxNamedMembers {
-			answer.Behind = append(answer.Behind, id)
+		if len(reply.Behind) < maxNamedMembers {
+			reply.Behind = append(reply.Behind, id)
 		}
 		if reminded < maxReminders && id != self.ID {
 			reminded++
 			p.node.act(Send{To: member.Announcement.Instance, Message: &message.ConfirmationQuery{Revision: queried}})
 		}
 	}
-	return answer
+	return reply
 }
 
 // sendQueries queries the collector of each failure domain that has not
 // confirmed the watched revision yet.
 func (p *confirmationComponent) sendQueries() {
 	for _, domain := range p.domains() {
-		if p.answers[domain].Revision >= p.watchedRevision {
+		if p.replies[domain].Revision >= p.watchedRevision {
 			continue
 		}
 		p.unanswered[domain]++
@@ -235,7 +235,7 @@
 		}
 		to := p.collector(domain, position)
 		if to.ID == p.node.options.Self.ID {
-			p.answerReceived(p.collect(p.watchedRevision))
+			p.replyReceived(p.collect(p.watchedRevision))
 			continue
 		}
 		if to.ID != "" {
@@ -258,18 +258,18 @@
 	})
 }
 
-// answerReceived stores a failure domain's answer unless an earlier one is
+// replyReceived stores a failure domain's reply unless an earlier one is
 // higher: a domain's revision never decreases.
-func (p *confirmationComponent) answerReceived(m message.DomainConfirmation) {
+func (p *confirmationComponent) replyReceived(m message.DomainConfirmation) {
 	if m.Members < p.runningCount(m.Domain) {
 		return
 	}
 	p.unanswered[m.Domain] = 0
-	old, ok := p.answers[m.Domain]
+	old, ok := p.replies[m.Domain]
 	if ok && m.Revision < old.Revision {
 		return
 	}
-	p.answers[m.Domain] = m
+	p.replies[m.Domain] = m
 }
 
 func (p *confirmationComponent) runningCount(domain coltsfootward.FailureDomain) int {
@@ -286,18 +286,18 @@
 type DomainRevision struct {
 	Domain coltsfootward.FailureDomain
 	// Revision is the lowest revision among the domain's running instances, or
-	// zero if the domain has not answered yet.
+	// zero if the domain has not replied yet.
 	Revision coltsfootward.Revision
 	// Behind lists some of the instances that have not confirmed the requested
 	// revision.
 	Behind []coltsfootward.InstanceID
 }
 
-// InForce returns the last known state of revision r in each failure domain,
-// and makes the node query the domains. Call it again for newer results. An
-// unreachable failure domain remains unconfirmed. An instance that its own
-// failure domain considers gone does not delay the confirmation.
-func (n *Node) InForce(r coltsfootward.Revision) []DomainRevision {
+// WatchRevision returns the last known state of revision r in each failure
+// domain, and makes the node query the domains. Call it again for newer
+// results. An unreachable failure domain remains unconfirmed. An instance that
+// its own failure domain considers gone does not delay the confirmation.
+func (n *Node) WatchRevision(r coltsfootward.Revision) []DomainRevision {
 	p := n.confirmation
 	if r > p.watchedRevision {
 		p.watchedRevision = r
@@ -306,10 +306,10 @@
 	p.watchUntil = n.now.Monotonic + watchTimeout
 	var revisions []DomainRevision
 	for _, domain := range p.domains() {
-		answer := p.answers[domain]
-		d := DomainRevision{Domain: domain, Revision: answer.Revision}
-		if answer.Revision < r {
-			d.Behind = p.behind(domain, answer)
+		reply := p.replies[domain]
+		d := DomainRevision{Domain: domain, Revision: reply.Revision}
+		if reply.Revision < r {
+			d.Behind = p.behind(domain, reply)
 		}
 		revisions = append(revisions, d)
 	}
@@ -317,10 +317,10 @@
 }
 
 // behind lists instances that a failure domain waits for. For a domain that has
-// not answered these are its first members.
-func (p *confirmationComponent) behind(domain coltsfootward.FailureDomain, answer message.DomainConfirmation) []coltsfootward.InstanceID {
-	if len(answer.Behind) > 0 {
-		return answer.Behind
+// not replied these are its first members.
+func (p *confirmationComponent) behind(domain coltsfootward.FailureDomain, reply message.DomainConfirmation) []coltsfootward.InstanceID {
+	if len(reply.Behind) > 0 {
+		return reply.Behind
 	}
 	var named []coltsfootward.InstanceID
 	for _, instance := range p.node.membership.machine.FirstAlive(domain, maxNamedMembers) {
--- a/core/node/entry_end.go
+++ b/core/node/entry_end.go
@@ -46,12 +46,12 @@
 
 // replay answers the call with the response to the first request under its
 // idempotency key, and removes the call.
-func (p *entryComponent) replay(call *entryCall, answer *claim.Answer) {
+func (p *entryComponent) replay(call *entryCall, response *claim.RetainedResponse) {
 	delete(p.calls, call.id)
 	if call.parent != "" {
 		p.node.ledger.release(call.parent, call.budget)
 	}
-	p.node.act(Replay{Call: call.id, Answer: *answer})
+	p.node.act(Replay{Call: call.id, Response: *response})
 }
 
 func (p *entryComponent) refuse(id CallID, request coltsfootward.RequestID, r coltsfootward.Refusal, evidence ...record.Field) {
@@ -103,13 +103,14 @@
 		p.node.ledger.release(call.parent, call.budget-call.attempts)
 	}
 	if call.claim != nil {
-		p.node.claims.ended(call, coltsfootward.ExecutionRan, e.Answer)
+		p.node.claims.ended(call, coltsfootward.ExecutionRan, e.Response)
 	}
 }
 
-// callerLeft cancels everything below a call whose caller has gone away. Work
-// for such callers would keep an overloaded service from recovering.
-func (p *entryComponent) callerLeft(id CallID) {
+// callCancelled cancels the attempts and child calls of a call whose caller has
+// disconnected. Work for such callers would keep an overloaded service from
+// recovering.
+func (p *entryComponent) callCancelled(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
 		return
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -62,9 +62,9 @@
 // address.
 type BackendLost struct{}
 
-// CallerLeft reports that the caller has gone away, so that nobody waits for
-// the response any more.
-type CallerLeft struct{ Call CallID }
+// CallCancelled reports that the caller or its entry node no longer waits for
+// the response: the caller disconnected, or the entry node cancelled its call.
+type CallCancelled struct{ Call CallID }
 
 // AttemptKind is the outcome of an attempt as seen by the entry node.
 type AttemptKind string
@@ -112,10 +112,10 @@
 	Needed int
 	// Complete is set if the complete response reached the caller.
 	Complete bool
-	// Answer is the complete response to a request with an idempotency key, if
-	// its body is not longer than MaximumRetainedAnswerBytes. It is retained
+	// Response is the complete response to a request with an idempotency key, if
+	// its body is not longer than MaximumRetainedResponseBytes. It is retained
 	// for repeated requests.
-	Answer *claim.Answer
+	Response *claim.RetainedResponse
 }
 
 // PeerCallArrived reports a call that an entry node sent for the local
@@ -210,7 +210,7 @@
 func (DomainsRead) isEvent()       {}
 func (BackendLost) isEvent()       {}
 func (RequestArrived) isEvent()    {}
-func (CallerLeft) isEvent()        {}
+func (CallCancelled) isEvent()     {}
 func (AttemptEnded) isEvent()      {}
 func (ResponseTruncated) isEvent() {}
 func (CallDone) isEvent()          {}
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -89,9 +89,9 @@
 		n.tick()
 	case RequestArrived:
 		n.entry.arrived(e)
-	case CallerLeft:
-		n.entry.callerLeft(e.Call)
-		n.upstream.callerLeft(e.Call)
+	case CallCancelled:
+		n.entry.callCancelled(e.Call)
+		n.upstream.callCancelled(e.Call)
 	case AttemptEnded:
 		n.entry.attemptEnded(e)
 	case ResponseTruncated:
@@ -202,7 +202,7 @@
 	case *message.ConfirmationQuery:
 		n.confirmation.queryReceived(e.From, *m)
 	case *message.DomainConfirmation:
-		n.confirmation.answerReceived(*m)
+		n.confirmation.replyReceived(*m)
 	}
 }
 
--- a/core/node/options.go
+++ b/core/node/options.go
@@ -38,10 +38,10 @@
 	// MaximumClaims bounds the claims retained for each slot that this node
 	// holds. New keys beyond the limit are refused. The default is 100 000.
 	MaximumClaims int
-	// RetainedAnswerBytes bounds the memory for answers that are retained for
+	// RetainedResponseBytes bounds the memory for responses that are retained for
 	// repeated requests, for each slot that this node holds. The default is 16
 	// MiB.
-	RetainedAnswerBytes int
+	RetainedResponseBytes int
 	// PollInterval is the time between two reads of the configuration changes
 	// from the table. The default is 1 s.
 	PollInterval time.Duration
@@ -64,9 +64,9 @@
 	// RetryShare bounds the retries for a service of a routed deployment, as a
 	// fraction of the service's requests. The default is retry.Ratio.
 	RetryShare float64
-	// RetryCapacity is the largest burst of retries for one service of a routed
+	// RetryBurst is the largest burst of retries for one service of a routed
 	// deployment, all nodes taken together. The default is 48.
-	RetryCapacity float64
+	RetryBurst float64
 	// LeaseTerm is how long a node holds a slot after its last successful
 	// renewal. The default is 1 min.
 	LeaseTerm time.Duration
@@ -96,7 +96,7 @@
 	DefaultKeyGrace       = 10 * time.Minute
 
 	DefaultConfigurationSpread = 13 * time.Second
-	DefaultRetryCapacity       = 48
+	DefaultRetryBurst          = 48
 )
 
 // WithDefaults returns a copy in which every zero field is set to its default.
@@ -129,8 +129,8 @@
 	if o.RetryShare <= 0 {
 		o.RetryShare = retry.Ratio
 	}
-	if o.RetryCapacity <= 0 {
-		o.RetryCapacity = DefaultRetryCapacity
+	if o.RetryBurst <= 0 {
+		o.RetryBurst = DefaultRetryBurst
 	}
 	if o.KeyGrace <= 0 {
 		o.KeyGrace = DefaultKeyGrace
@@ -143,14 +143,14 @@
 	o.ClaimWindow = claims.Window
 	o.ClaimClockMargin = claims.ClockMargin
 	o.MaximumClaims = claims.MaximumClaims
-	o.RetainedAnswerBytes = claims.MaximumAnswerBytes
+	o.RetainedResponseBytes = claims.RetainedResponseBytes
 }
 
 func (o Options) claims() claim.Options {
 	return claim.Options{
-		Window:             o.ClaimWindow,
-		ClockMargin:        o.ClaimClockMargin,
-		MaximumClaims:      o.MaximumClaims,
-		MaximumAnswerBytes: o.RetainedAnswerBytes,
+		Window:                o.ClaimWindow,
+		ClockMargin:           o.ClaimClockMargin,
+		MaximumClaims:         o.MaximumClaims,
+		RetainedResponseBytes: o.RetainedResponseBytes,
 	}
 }
--- a/core/node/overload_test.go
+++ b/core/node/overload_test.go
@@ -59,11 +59,11 @@
 	}
 	s.sendPeerCall(2, coltsfootward.PriorityNormal)
 	s.sendPeerCall(3, coltsfootward.PriorityNormal)
-	cancelled := refusals(s.handle(node.CallerLeft{Call: 2}))
+	cancelled := refusals(s.handle(node.CallCancelled{Call: 2}))
 	if len(cancelled) != 1 || cancelled[0].Refusal.Execution != coltsfootward.ExecutionNotRun {
 		t.Errorf("got refusals %+v for a cancelled call in the queue, want one with execution not_run", cancelled)
 	}
-	s.handle(node.CallerLeft{Call: 1})
+	s.handle(node.CallCancelled{Call: 1})
 	got := dispatchedCalls(s.handle(node.DispatchEnded{Call: 1, Kind: node.DispatchCancelled}))
 	if len(got) != 1 || got[0] != 3 {
 		t.Errorf("got %v dispatched after the cancellation, want call 3", got)
--- a/core/node/placement.go
+++ b/core/node/placement.go
@@ -162,7 +162,7 @@
 func (p *placementComponent) countRequest(call *entryCall) {
 	s := p.poolFor(call.head.Service)
 	s.budget.Share = p.node.options.RetryShare
-	s.budget.Burst = p.node.options.RetryCapacity / float64(max(p.node.membership.machine.Size(), 1))
+	s.budget.Burst = p.node.options.RetryBurst / float64(max(p.node.membership.machine.Size(), 1))
 	s.budget.RecordRequest(p.node.now.Monotonic, call.head.Retry)
 }
 
--- a/core/node/rate.go
+++ b/core/node/rate.go
@@ -17,7 +17,10 @@
 	minRetrySpread = 200 * time.Millisecond
 )
 
-// admission entitles one attempt to start until it expires.
+// admission is the permission of one attempt to start under its organisation's
+// rate limit, valid until it expires. It is distinct from admission control
+// (coltsfootward/core/admission), which decides whether the local backend server
+// has capacity for a request.
 type admission struct {
 	// expires is when the admission ends, by Instant.Expiry; zero means that it
 	// does not expire.
--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -56,31 +56,31 @@
 	return m.Send(nodetest.Request{Key: testKey, Service: "quotes"})
 }
 
-// starts returns the times at which requests began at backend servers, sorted.
-func (f *ratedFleet) starts() []time.Duration {
-	var starts []time.Duration
+// arrivals returns the times at which requests arrived at backend servers, sorted.
+func (f *ratedFleet) arrivals() []time.Duration {
+	var arrivals []time.Duration
 	for _, m := range f.nodes {
 		for _, run := range m.Backend.Runs {
-			starts = append(starts, run.Arrived)
+			arrivals = append(arrivals, run.Arrived)
 		}
 	}
-	slices.Sort(starts)
-	return starts
+	slices.Sort(arrivals)
+	return arrivals
 }
 
 // checkBound checks that no window of any length w contains more than burst +
-// rate·w starts. This holds exactly if one token bucket with the full burst and
-// rate has a token for every start.
-func checkBound(starts []time.Duration, rate coltsfootward.Rate) error {
+// rate·w arrivals. This holds exactly if one token bucket with the full burst and
+// rate has a token for every arrival.
+func checkBound(arrivals []time.Duration, rate coltsfootward.Rate) error {
 	const rounding = 1e-6
 	level := float64(rate.Burst)
 	last := time.Duration(0)
-	for i, at := range starts {
+	for i, at := range arrivals {
 		level = min(float64(rate.Burst), level+rate.PerSecond*(at-last).Seconds())
 		last = at
 		level--
 		if level < -rounding {
-			return fmt.Errorf("start %d of %d at %s is %.3f tokens above %+v", i, len(starts), at, -level, rate)
+			return fmt.Errorf("arrival %d of %d at %s is %.3f tokens above %+v", i, len(arrivals), at, -level, rate)
 		}
 	}
 	return nil
@@ -163,7 +163,7 @@
 			}
 			f.flood(time.Duration(rapid.IntRange(0, 15_000).Draw(t, "wait"))*time.Millisecond, 3*rate.PerSecond)
 		}
-		if err := checkBound(f.starts(), rate); err != nil {
+		if err := checkBound(f.arrivals(), rate); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -212,17 +212,17 @@
 	f.nodes[0].Kill()
 	f.nodes[1].Kill()
 	f.flood(10*time.Second, 2*rate.PerSecond)
-	if got, most := len(f.starts()), 20+20*10+20; got > most || got < 20*8 {
-		t.Errorf("with one of two domains dead for 10 s: got %d starts, want 160 to %d", got, most)
+	if got, most := len(f.arrivals()), 20+20*10+20; got > most || got < 20*8 {
+		t.Errorf("with one of two domains dead for 10 s: got %d arrivals, want 160 to %d", got, most)
 	}
 	f.restart(f.nodes[1])
 	f.rig.Run(30 * time.Second)
-	before := len(f.starts())
+	before := len(f.arrivals())
 	f.flood(10*time.Second, 2*rate.PerSecond)
-	if got := len(f.starts()) - before; got < 40*9 {
-		t.Errorf("after the takeover: got %d starts in 10 s, want at least 360", got)
+	if got := len(f.arrivals()) - before; got < 40*9 {
+		t.Errorf("after the takeover: got %d arrivals in 10 s, want at least 360", got)
 	}
-	if err := checkBound(f.starts(), rate); err != nil {
+	if err := checkBound(f.arrivals(), rate); err != nil {
 		t.Error(err)
 	}
 }
@@ -251,7 +251,7 @@
 		if share := float64(refused-refusedBySingle) / float64(offered); share > c.most {
 			t.Errorf("%s: got a fraction of %.3f of the requests refused beyond those of a single bucket, want at most %.3f", c.name, share, c.most)
 		}
-		if err := checkBound(f.starts(), c.rate); err != nil {
+		if err := checkBound(f.arrivals(), c.rate); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
--- a/core/node/upstream_end.go
+++ b/core/node/upstream_end.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *upstreamComponent) callerLeft(id CallID) {
+func (p *upstreamComponent) callCancelled(id CallID) {
 	call, ok := p.calls[id]
 	if !ok {
 		return
--- a/core/nodetest/evidence_test.go
+++ b/core/nodetest/evidence_test.go
@@ -117,7 +117,7 @@
 		if cold.Remaining <= 0 || cold.Remaining > coldTime {
 			t.Errorf("%s: remaining cold time %v, want more than zero and at most %v", m.Instance.ID, cold.Remaining, coldTime)
 		}
-		admitted += cold.Passed
+		admitted += cold.Admitted
 		refused += cold.Refused
 	}
 	if admitted == 0 || refused == 0 {
--- a/core/nodetest/link.go
+++ b/core/nodetest/link.go
@@ -168,7 +168,7 @@
 		o.Done = true
 		o.Answered = true
 		o.Replayed = true
-		o.By = coltsfootward.InstanceID(a.Answer.Body)
+		o.By = coltsfootward.InstanceID(a.Response.Body)
 	})
 }
 
@@ -194,7 +194,7 @@
 	})
 	m.deliver(func() node.Event {
 		return node.CallDone{Call: p.call, Attempts: end.Attempts, Needed: end.Needed, Complete: true,
-			Answer: &claim.Answer{Status: p.status, Body: []byte(by)}}
+			Response: &claim.RetainedResponse{Status: p.status, Body: []byte(by)}}
 	})
 	m.endOutcome(e.outcome, func(o *Outcome) {
 		o.Done = true
@@ -209,8 +209,8 @@
 	to, remote := e.target, e.remoteCall
 	e.target = nil
 	if !m.rig.connected(m.Instance.ID, to.Instance.ID) {
-		m.rig.After(breakDetectionDelay, func() { to.deliver(func() node.Event { return node.CallerLeft{Call: remote} }) })
+		m.rig.After(breakDetectionDelay, func() { to.deliver(func() node.Event { return node.CallCancelled{Call: remote} }) })
 		return
 	}
-	m.afterLinkDelay(to, func() { to.deliver(func() node.Event { return node.CallerLeft{Call: remote} }) })
+	m.afterLinkDelay(to, func() { to.deliver(func() node.Event { return node.CallCancelled{Call: remote} }) })
 }
--- a/core/nodetest/member.go
+++ b/core/nodetest/member.go
@@ -330,7 +330,7 @@
 	}
 	m.endOutcome(o, func(o *Outcome) { o.Done = true })
 	delete(m.entryRequests, o.call)
-	m.deliver(func() node.Event { return node.CallerLeft{Call: o.call} })
+	m.deliver(func() node.Event { return node.CallCancelled{Call: o.call} })
 	if e.target != nil {
 		m.cancelRemote(e)
 	}
--- a/core/placement/pool_test.go
+++ b/core/placement/pool_test.go
@@ -81,11 +81,11 @@
 func TestOwnDomainFirstThenSpill(t *testing.T) {
 	p := newPool(self, 1, 3)
 	if picked := choose(p, time.Second, 100); picked["north-0"] != 100 {
-		t.Errorf("got %v, want all in the own failure domain while it has room", picked)
+		t.Errorf("got %v, want all in the own failure domain while its server has free capacity", picked)
 	}
 	p.ObserveLoad(time.Second, "north-0", traders, message.Load{Running: 10, Queued: 5, Limit: 10})
 	if picked := choose(p, time.Second, 100); picked["north-0"] != 0 {
-		t.Errorf("got %v, want none at a full server while others are idle", picked)
+		t.Errorf("got %v, want none at a server at its limit while others are idle", picked)
 	}
 }
 
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -30,8 +30,8 @@
 	callThreshold          = 0.80
 	callNonLeafThreshold   = 0.60
 	callerNonLeafThreshold = 0.45
-	// burstFraction is the fraction of the fleet's burst of retries that may be used
-	// in addition to the share, divided among the nodes.
+	// burstFraction is the fraction of Budget.Burst that may be used in addition to
+	// the share. Budget.Burst is already the node's own part of the fleet's burst.
 	burstFraction = 0.4
 	// windowStep is the resolution of the sliding window and windowSteps its length
 	// in steps. The window covers at least ten seconds, even when its newest step has
--- a/io/caller/exchange.go
+++ b/io/caller/exchange.go
@@ -51,7 +51,7 @@
 				return
 			}
 		case <-e.request.Context().Done():
-			e.handler.loop.Post(node.CallerLeft{Call: e.call.ID})
+			e.handler.loop.Post(node.CallCancelled{Call: e.call.ID})
 			return
 		case <-e.handler.loop.Done():
 			if e.download.begun {
@@ -147,7 +147,7 @@
 	if !ok {
 		end.Attempts = -1
 	}
-	e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Complete: complete, Answer: e.retainedResponse(response, complete)})
+	e.handler.loop.Post(node.CallDone{Call: e.call.ID, Attempts: end.Attempts, Needed: end.Needed, Complete: complete, Response: e.retainedResponse(response, complete)})
 	if !complete {
 		response.Close()
 		panic(http.ErrAbortHandler)
@@ -172,33 +172,33 @@
 
 // retainedResponse returns the response to retain for repeated requests, or nil if
 // it is incomplete, too large or not to be retained.
-func (e *exchange) retainedResponse(response *peer.Response, complete bool) *claim.Answer {
+func (e *exchange) retainedResponse(response *peer.Response, complete bool) *claim.RetainedResponse {
 	if !complete || !e.retainable {
 		return nil
 	}
-	return &claim.Answer{Status: response.Head.Status, Header: response.Head.Header, Body: e.retainedBody}
+	return &claim.RetainedResponse{Status: response.Head.Status, Header: response.Head.Header, Body: e.retainedBody}
 }
 
 // replay writes the retained response of the first request with the same
 // Idempotency-Key.
 func (e *exchange) replay(a node.Replay) {
 	h := e.writer.Header()
-	for name, values := range a.Answer.Header {
+	for name, values := range a.Response.Header {
 		h[name] = values
 	}
 	h.Set(HeaderReplayed, "true")
-	e.writer.WriteHeader(a.Answer.Status)
-	_, _ = e.writer.Write(a.Answer.Body) // the caller may have disconnected
+	e.writer.WriteHeader(a.Response.Status)
+	_, _ = e.writer.Write(a.Response.Body) // the caller may have disconnected
 }
 
 // retain adds p to the retained body. It discards the body once the size exceeds
-// node.MaximumRetainedAnswerBytes.
+// node.MaximumRetainedResponseBytes.
 func (e *exchange) retain(p []byte) {
 	if !e.retainable {
 		return
 	}
 	e.retainedBody = append(e.retainedBody, p...)
-	if len(e.retainedBody) > node.MaximumRetainedAnswerBytes {
+	if len(e.retainedBody) > node.MaximumRetainedResponseBytes {
 		e.retainable = false
 		e.retainedBody = nil
 	}
--- a/io/operator/watch.go
+++ b/io/operator/watch.go
@@ -51,7 +51,7 @@
 
 func (s *Service) inForce(revision coltsfootward.Revision) (bool, []*coltsfootwardv1.DomainRevision) {
 	var revisions []node.DomainRevision
-	s.loop.Inspect(func(n *node.Node) { revisions = n.InForce(revision) })
+	s.loop.Inspect(func(n *node.Node) { revisions = n.WatchRevision(revision) })
 	allConfirmed := len(revisions) > 0
 	var domains []*coltsfootwardv1.DomainRevision
 	for _, d := range revisions {
--- a/io/upstream/gate.go
+++ b/io/upstream/gate.go
@@ -12,6 +12,8 @@
 )
 
 var (
+	// errAdmissionExpired reports that the time until which the request may start,
+	// node.Dispatch.StartBy, passed before the request was sent.
 	errAdmissionExpired = errors.New("upstream: admission ended before the request was sent: it did not run")
 	errWithdrawn        = errors.New("upstream: request withdrawn before it was sent: it did not run")
 	errAlreadySent      = errors.New("upstream: request was sent on another connection before: it is not sent twice")
--- a/io/upstream/upstream.go
+++ b/io/upstream/upstream.go
@@ -143,7 +143,7 @@
 				return
 			}
 		case <-cancelled:
-			s.loop.Post(node.CallerLeft{Call: call.ID})
+			s.loop.Post(node.CallCancelled{Call: call.ID})
 			cancelled = nil
 		case <-s.loop.Done():
 			return
