--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/uuid"
 )
 
-const window = 10 * time.Minute
+// retentionWindow is how long a holder retains a claim by default.
+const retentionWindow = 10 * time.Minute
 
 // timedKey returns a UUID of version 7 with the timestamp t.
 func timedKey(t time.Time) string {
@@ -22,7 +23,7 @@
 	return id.String()
 }
 
-// model consists of one key, its two claimants and the successive holders.
+// model is the state of one key, its two claimants and the current holder.
 type model struct {
 	now    coltsfootward.Instant
 	holder *claim.Holder
@@ -67,7 +68,7 @@
 		w.holder = next
 		return true
 	}},
-	{"half a window passes", func(w *model) bool { w.now = w.now.Add(window / 2); return true }},
+	{"half a window passes", func(w *model) bool { w.now = w.now.Add(retentionWindow / 2); return true }},
 	{"a moment passes", func(w *model) bool { w.now = w.now.Add(20 * time.Second); return true }},
 }
 
@@ -122,12 +123,12 @@
 	end()
 }
 
-// Guards against a request running twice. The same request arrives through two
-// nodes, in every order of claims, dispatches, ends, late and repeated reports,
-// handovers, takeovers that lose all claims, and passing time. A key with a
-// timestamp must never run twice, a key without one not twice within the window;
-// the test checks the window for both.
-func TestEveryOrderOfEventsRunsKeyOnce(t *testing.T) {
+// Guards against a request running twice because it arrives through two nodes. The
+// test tries every order of claims, dispatches, ends, late and repeated reports,
+// handovers, takeovers that lose all claims, and passing time. A request whose key has
+// a timestamp must never run twice; one whose key has none must not run twice within
+// the retention window. The test checks only the retention window for both.
+func TestKeyRunsOnceInEveryOrderOfEvents(t *testing.T) {
 	const depth = 7
 	start := coltsfootward.At(time.Hour)
 	for _, test := range []struct {
@@ -138,7 +139,7 @@
 		{"created before the term", timedKey(start.Wall.Add(-time.Minute))},
 		{"created now", timedKey(start.Wall.Add(time.Second))},
 		{"created by a clock that is ahead", timedKey(start.Wall.Add(3 * time.Second))},
-		{"timestamp in the future", timedKey(start.Wall.Add(window))},
+		{"timestamp in the future", timedKey(start.Wall.Add(retentionWindow))},
 	} {
 		explored, ran, twice := 0, 0, false
 		path := make([]int, 0, depth)
@@ -158,7 +159,7 @@
 			if len(w.runs) > 0 {
 				ran++
 			}
-			if len(w.runs) > 1 && w.runs[len(w.runs)-1]-w.runs[0] < window {
+			if len(w.runs) > 1 && w.runs[len(w.runs)-1]-w.runs[0] < retentionWindow {
 				twice = true
 				var names []string
 				for _, s := range path {
@@ -180,7 +181,9 @@
 	}
 }
 
-func TestDecisions(t *testing.T) {
+// Guards against a repeated request that runs again, and against a new request that
+// is not granted: each case prepares a holder and states its decision on one claim.
+func TestClaimDecisions(t *testing.T) {
 	start := coltsfootward.At(time.Hour)
 	first := claim.Request{Key: claim.Key{Organisation: "traders", Text: "k"}, ID: "a", Content: 1}
 	repeat := claim.Request{Key: first.Key, ID: "b", Content: 1}
@@ -223,12 +226,12 @@
 			before.Claim(start, first)
 			h.Restore(start, before.Handover(start))
 		}, repeat, time.Second, claim.Running},
-		{"key without timestamp after a takeover", false, func(*claim.Holder) {}, first, window + claim.DefaultLifetime - 1, claim.HeldOff},
-		{"key without timestamp a window later", false, func(*claim.Holder) {}, first, window + claim.DefaultLifetime, claim.Granted},
+		{"key without timestamp after a takeover", false, func(*claim.Holder) {}, first, retentionWindow + claim.DefaultLifetime - 1, claim.HeldOff},
+		{"key without timestamp a window later", false, func(*claim.Holder) {}, first, retentionWindow + claim.DefaultLifetime, claim.Granted},
 		{"key created before the term", false, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall)}}, time.Minute, claim.Forgotten},
 		{"key created within the term", false, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall.Add(time.Minute))}}, time.Minute, claim.Granted},
 		{"key created within the term that names a domain", false, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: "north:" + timedKey(start.Wall.Add(time.Minute))}}, time.Minute, claim.Granted},
-		{"key older than the window", true, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall)}}, window + claim.DefaultLifetime, claim.Forgotten},
+		{"key older than the window", true, func(*claim.Holder) {}, claim.Request{Key: claim.Key{Text: timedKey(start.Wall)}}, retentionWindow + claim.DefaultLifetime, claim.Forgotten},
 	} {
 		h := claim.NewHolder(claim.Options{}, start)
 		if test.first {
@@ -241,8 +244,8 @@
 	}
 }
 
-// A flood of keys must neither grow the holder's memory without bound nor evict a
-// claim whose request may have run.
+// Guards against a flood of keys that grows the holder's memory without bound, or
+// evicts claims whose requests may have run, so that a repeated request runs again.
 func TestFullHolderKeepsClaims(t *testing.T) {
 	start := coltsfootward.At(time.Hour)
 	h := claim.NewFirstHolder(claim.Options{MaximumClaims: 100}, start)
@@ -258,7 +261,7 @@
 	if got := h.Claim(start.Add(time.Minute), claim.Request{Key: request(0).Key, ID: "other"}); got.Decision != claim.Running {
 		t.Errorf("repeat of the first key: got %s, want %s", got.Decision, claim.Running)
 	}
-	if got := h.Claim(start.Add(window+claim.DefaultLifetime+time.Second), request(2000)); got.Decision != claim.Granted || h.Len() != 1 {
+	if got := h.Claim(start.Add(retentionWindow+claim.DefaultLifetime+time.Second), request(2000)); got.Decision != claim.Granted || h.Len() != 1 {
 		t.Errorf("after the window: got %s with %d claims, want %s with 1", got.Decision, h.Len(), claim.Granted)
 	}
 }
--- a/core/lease/search_test.go
+++ b/core/lease/search_test.go
@@ -30,15 +30,16 @@
 	err    error
 }
 
-// actor is one node in the search.
+// actor is one node in the search. Its operation op is meaningful only while
+// operationPending is set.
 type actor struct {
 	slot lease.Slot
 	// now is the reading of the node's clocks.
-	now       coltsfootward.Instant
-	paused    bool
-	suspended bool
-	waiting   bool
-	op        operation
+	now              coltsfootward.Instant
+	paused           bool
+	suspended        bool
+	operationPending bool
+	op               operation
 	// lateWrite is a write that the node treats as failed but that may still take
 	// effect.
 	lateWrite    lease.Write
@@ -78,7 +79,7 @@
 	hash := xxhash.New()
 	fmt.Fprint(hash, w.row.Version, w.elapsed, w.faultsLeft)
 	for _, a := range w.actors {
-		fmt.Fprint(hash, a.slot, a.now.Monotonic, a.now.Expiry, a.paused, a.suspended, a.waiting)
+		fmt.Fprint(hash, a.slot, a.now.Monotonic, a.now.Expiry, a.paused, a.suspended, a.operationPending)
 		fmt.Fprint(hash, a.op.action, a.op.done, a.op.row.Version, a.op.err, a.lateWrite, a.hasLateWrite)
 	}
 	return hash.Sum64()
@@ -99,11 +100,11 @@
 }
 
 func (a *actor) begin(action lease.Action) {
-	a.waiting = action != nil
+	a.operationPending = action != nil
 	a.op = operation{action: action}
 }
 
-func (a *actor) answer(row coltsfootward.Row, err error) {
+func (a *actor) completeOperation(row coltsfootward.Row, err error) {
 	_, read := a.op.action.(lease.Read)
 	if read {
 		a.begin(a.slot.ReadCompleted(a.now, row, err))
@@ -160,16 +161,17 @@
 
 func (w *model) tick(i int) bool {
 	a := &w.actors[i]
-	if a.paused || a.waiting {
+	if a.paused || a.operationPending {
 		return false
 	}
 	a.begin(a.slot.Tick(a.now, lease.Candidacy{Eligible: true}))
 	w.completeRead(i)
-	return a.waiting
+	return a.operationPending
 }
 
-// completeRead lets a read take effect when it is sent. Its reply may still arrive
-// late, so it is at least as stale as that of a read that took effect later.
+// completeRead lets a read take effect as soon as it is sent. This loses no case: the
+// reply may still arrive late, and its content is then at least as stale as if the
+// read had taken effect later.
 func (w *model) completeRead(i int) {
 	if _, ok := w.actors[i].op.action.(lease.Read); ok {
 		w.applyOperation(i)
@@ -178,7 +180,7 @@
 
 func (w *model) applyOperation(i int) bool {
 	a := &w.actors[i]
-	if !a.waiting || a.op.done {
+	if !a.operationPending || a.op.done {
 		return false
 	}
 	a.op.row, a.op.err = w.apply(a.op.action)
@@ -188,24 +190,24 @@
 
 func (w *model) deliverReply(i int) bool {
 	a := &w.actors[i]
-	if a.paused || !a.waiting || !a.op.done {
+	if a.paused || !a.operationPending || !a.op.done {
 		return false
 	}
-	a.answer(a.op.row, a.op.err)
+	a.completeOperation(a.op.row, a.op.err)
 	w.completeRead(i)
 	return true
 }
 
 func (w *model) loseReply(i int) bool {
 	a := &w.actors[i]
-	if a.paused || !a.waiting || w.faultsLeft == 0 {
+	if a.paused || !a.operationPending || w.faultsLeft == 0 {
 		return false
 	}
 	w.faultsLeft--
 	if write, ok := a.op.action.(lease.Write); ok && !a.op.done {
 		a.lateWrite, a.hasLateWrite = write, true
 	}
-	a.answer(coltsfootward.Row{}, coltsfootward.ErrUnavailable)
+	a.completeOperation(coltsfootward.Row{}, coltsfootward.ErrUnavailable)
 	return true
 }
 
@@ -261,8 +263,8 @@
 // organisation twice its part of the rate. This can happen if the holder notices
 // the end of its term late, because it was paused, its clock stopped or the reply
 // to its write was late, or if the other node takes the slot over too early or
-// after a stale read. The test tries every order of these events up to the bounds
-// above.
+// after a stale read. The test tries every order of these events up to maximumSteps
+// clock steps and maximumFaults faults.
 func TestNeverTwoHolders(t *testing.T) {
 	all := events()
 	start := newModel()
--- a/core/placement/pool_test.go
+++ b/core/placement/pool_test.go
@@ -48,9 +48,10 @@
 	return picked
 }
 
-// Guards against a request without a server, or with one that it has tried, while
-// an untried server is known. Earlier outcomes may have ejected any servers.
-func TestChooseAlwaysFindsAnUntriedServer(t *testing.T) {
+// Guards against a request that gets no server, or a server that it has already tried,
+// while the pool has an untried one. Earlier outcomes may have ejected any of the
+// servers, or all.
+func TestChooseFindsEveryUntriedServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := rand.New(rand.NewPCG(1, 1))
 		own, other := rapid.IntRange(0, 12).Draw(t, "own"), rapid.IntRange(0, 30).Draw(t, "other")
@@ -78,7 +79,10 @@
 	})
 }
 
-func TestOwnDomainFirstThenSpill(t *testing.T) {
+// Guards against requests that leave their failure domain while it has capacity, and
+// against requests that wait at a full server of the own domain while servers of other
+// domains are idle.
+func TestFullOwnDomainSpillsToOthers(t *testing.T) {
 	p := newPool(self, 1, 3)
 	if picked := choose(p, time.Second, 100); picked["north-0"] != 100 {
 		t.Errorf("got %v, want all in the own failure domain while it has room", picked)
@@ -123,9 +127,9 @@
 	}
 }
 
-// Guards against sending a full share to a restarted server: a cold server times
-// out on all of it. The server starts with a part of its share, and the load is
-// spread by the requests in flight.
+// Guards against time-outs at a restarted server that gets its full share of the
+// requests while it is still cold. The server must start with a fraction of its share,
+// while the load is balanced by the number of requests in flight.
 func TestColdServerStartsSlowly(t *testing.T) {
 	p := newPool(self, 4, 0)
 	now := time.Minute
@@ -155,14 +159,15 @@
 	}
 }
 
-// A service has 100 servers, and 100 nodes call it. Each node uses 16 of them, each
-// server is in about 16 subsets, and a server that leaves changes only the subsets
-// that contained it.
+// Guards against subsets that load some servers much more than others, and against one
+// leaving server that changes the subsets of all nodes. A service has 100 servers, and
+// 100 nodes call it. Each node uses a subset of 16 servers, each server is in about 16
+// subsets, and a server that leaves changes only the subsets that contained it.
 func TestSubsetsAreStableAndEven(t *testing.T) {
 	const servers = 100
 	subsetCount := make(map[coltsfootward.InstanceID]int)
 	subset := func(p *placement.Pool) map[coltsfootward.InstanceID]int { return choose(p, time.Second, 400) }
-	changed := 0
+	added := 0
 	for n := range servers {
 		p := newPool(coltsfootward.Instance{ID: coltsfootward.InstanceID(fmt.Sprint("node-", n)), Domain: "north"}, 0, servers)
 		before := subset(p)
@@ -175,11 +180,11 @@
 		p.Remove("south-7")
 		for id := range subset(p) {
 			if before[id] == 0 {
-				changed++
+				added++
 			}
 		}
 	}
-	if got, want := changed, subsetCount["south-7"]; got != want {
+	if got, want := added, subsetCount["south-7"]; got != want {
 		t.Errorf("got %d servers new in subsets after one left, want %d", got, want)
 	}
 	for id, count := range subsetCount {
@@ -191,9 +196,10 @@
 
 // Guards against shedding an organisation's requests for ever after one overload.
 // Every server sheds the organisation's low-priority requests, so the entry node
-// refuses them without sending them. It then receives no more reports, and the
-// level must rise without them. The requests pass if one server accepts them.
-func TestShedLevelFollowsReportsAndRises(t *testing.T) {
+// refuses them without sending them. It then receives no more load reports, so the
+// shed level must rise without them until a request is sent again. The requests are
+// also sent as soon as one server reports that it accepts them.
+func TestShedLevelRisesWithoutReports(t *testing.T) {
 	p := newPool(self, 1, 1)
 	now := time.Minute
 	full := message.Load{Limit: 10, ShedLevel: 2 << 28}
--- a/core/rate/divide_test.go
+++ b/core/rate/divide_test.go
@@ -22,7 +22,10 @@
 	return names
 }
 
-func TestDivisionIsExact(t *testing.T) {
+// Guards against a division whose parts add up to more or less than the
+// organisation's limit, as happens when rounding is lost, and against nodes that
+// compute different parts because they list the failure domains in another order.
+func TestDivisionAddsUpToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := coltsfootward.Rate{
 			PerSecond: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
@@ -77,10 +80,10 @@
 	return r.level > -rounding
 }
 
-// Guards against an organisation exceeding its burst and rate although every
-// bucket keeps its own bound: tokens drawn in one second are kept and spent
-// together with those drawn in the next.
-func TestLateSpendingKeepsPartBound(t *testing.T) {
+// Guards against requests that exceed a part's burst and rate although its bucket
+// granted no token too many: tokens may be spent until the end of their lifetime, so
+// tokens drawn in one second can be spent together with those drawn in the next.
+func TestStartsStayWithinBoundWhenTokensAreSpentLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rate.Part{
 			Rate:  int64(rapid.Float64Range(0.1, 200).Draw(t, "rate") * rate.Token),
@@ -107,7 +110,10 @@
 	})
 }
 
-func TestSteadyDrawingReachesTheRate(t *testing.T) {
+// Guards against a bucket that grants steady demand much less than its rate. The
+// bucket's depth or refill is reduced to allow for tokens that are spent late, which
+// costs part of the rate if the burst is small.
+func TestSteadyDrawsReachRate(t *testing.T) {
 	for _, c := range []struct {
 		rate  float64
 		burst int64
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a retry storm: all requests to a service fail, from callers and
-// from other services, and all would be retried. The retries of all nodes together
-// must stay within the share of the requests, which an overloaded service can
-// handle.
-func TestBudgetHoldsTheShare(t *testing.T) {
+// Guards against a retry storm: all requests to a service fail, those of callers and
+// those of other services, and every node would retry all of them. The retries of all
+// nodes together must stay within the budget's share of the requests, which is as much
+// extra load as an overloaded service can handle, plus the burst.
+func TestRetriesStayWithinBudgetShare(t *testing.T) {
 	const nodes, share, burst = 16, 0.2, 48
 	budgets := make([]retry.Budget, nodes)
 	requests, retries := 0, 0
@@ -40,13 +40,14 @@
 	}
 }
 
-// A server rejects half of its requests. Callers' own requests are a small part of
-// all requests and get enough retries that nearly all of them are served. If
-// retries were distributed evenly, they would fail as often as calls whose parent
-// requests fail anyway.
-func TestCallersTakePrecedence(t *testing.T) {
+// Guards against retries spent on child calls while callers' requests fail. A server
+// rejects half of its requests, and the budget does not suffice for all of them.
+// Callers' requests are a tenth of all requests and must get enough retries that nearly
+// all of them are served. If retries were distributed evenly, callers' requests
+// would fail as often as child calls whose parent requests fail anyway.
+func TestCallerRequestsAreRetriedFirst(t *testing.T) {
 	b := retry.Budget{Share: 0.2, Burst: 3}
-	var got [2]int
+	var retries [2]int
 	const rounds = 1000
 	for i := range rounds {
 		now := time.Duration(i) * 10 * time.Millisecond
@@ -55,23 +56,23 @@
 			b.RecordRequest(now, false)
 		}
 		if b.Take(now, retry.KindCaller) {
-			got[0]++
+			retries[0]++
 		}
 		if b.Take(now, retry.KindCall) {
-			got[1]++
+			retries[1]++
 		}
 	}
-	if got[0] < rounds*95/100 {
-		t.Errorf("callers got %d retries for %d requests, want at least 95 in 100", got[0], rounds)
+	if retries[0] < rounds*95/100 {
+		t.Errorf("callers got %d retries for %d requests, want at least 95 in 100", retries[0], rounds)
 	}
-	if most := rounds * 10 * 20 / 100; got[0]+got[1] > most {
-		t.Errorf("got %d retries in all for %d requests, want at most %d", got[0]+got[1], 10*rounds, most)
+	if most := rounds * 10 * 20 / 100; retries[0]+retries[1] > most {
+		t.Errorf("got %d retries in all for %d requests, want at most %d", retries[0]+retries[1], 10*rounds, most)
 	}
 }
 
-// Guards against a service that fails all requests getting more than its share of
-// retries: a fifth more load, not twice the load. Requests arrive and fail at
-// random, callers' own and calls, some of them made by retried requests. In any ten
+// Guards against a service that fails all requests and gets twice the load through
+// retries, instead of the fifth more that the budget's share allows. Callers' requests
+// and child calls arrive and fail at random; some are made by retried requests. In any ten
 // seconds that end with a retry, the retries must stay within the share. Windows
 // that end between two retries are not checked: they contain the same retries, and
 // the requests that allowed these came before.
@@ -127,24 +128,25 @@
 	})
 }
 
-// Servers lose a quarter of their responses for four seconds after a time without
-// failures. The requests of that time allow a retry of each lost call. With a
-// constant rate of retries two thirds of the lost calls failed, and nearly every
-// request that needs ten calls.
+// Guards against calls that fail during a short fault although the budget is unspent.
+// After eight seconds without failures, servers lose a quarter of their responses for
+// four seconds. The requests of the first eight seconds allow a retry of each lost call.
+// With a constant rate of retries, two thirds of the lost calls failed, and with them
+// nearly every request that needs ten calls.
 func TestShortFailureIsFullyRetried(t *testing.T) {
 	b := retry.Budget{Share: 0.2}
-	wanted, got := 0, 0
+	lostCalls, retries := 0, 0
 	for i := range 1200 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		b.RecordRequest(now, false)
 		if i >= 800 && i%4 == 0 {
-			wanted++
+			lostCalls++
 			if b.Take(now, retry.KindCall) {
-				got++
+				retries++
 			}
 		}
 	}
-	if got < wanted {
-		t.Errorf("got %d retries for %d lost calls, want all", got, wanted)
+	if retries < lostCalls {
+		t.Errorf("got %d retries for %d lost calls, want all", retries, lostCalls)
 	}
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// A service fails all requests. After any history the retries are bounded by a
-// tenth of the successes plus the capacity plus one per second.
+// Guards against a retry storm at a service that fails all requests. After any sequence
+// of successes and failures, the number of retries must be at most a tenth of the
+// successes, plus the capacity, plus one per second.
 func TestAllowanceBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a retry.Allowance
@@ -37,6 +38,9 @@
 	})
 }
 
+// Guards against a failure that is not retried because earlier failures have used up
+// the allowance and no success has refilled it. The allowance must also refill with
+// time.
 func TestRareFailureIsRetried(t *testing.T) {
 	var a retry.Allowance
 	now := time.Duration(0)
