--- a/core/message/codec_test.go
+++ b/core/message/codec_test.go
@@ -32,11 +32,11 @@
 				WithRetryAfter(time.Duration(rapid.Int64().Draw(t, name))).WithFinal()
 			field.Set(reflect.ValueOf(&r))
 		case []message.Pressure:
-			var below []message.Pressure
+			var pressures []message.Pressure
 			for range rapid.IntRange(1, 3).Draw(t, name) {
-				below = append(below, message.Pressure{Service: coltsfootward.ServiceName(rapid.String().Draw(t, name)), Excess: 0.5, Cost: rapid.Float64().Draw(t, name)})
+				pressures = append(pressures, message.Pressure{Service: coltsfootward.ServiceName(rapid.String().Draw(t, name)), Excess: 0.5, Cost: rapid.Float64().Draw(t, name)})
 			}
-			field.Set(reflect.ValueOf(below))
+			field.Set(reflect.ValueOf(pressures))
 		case message.Load, coltsfootward.Instance:
 			fill(t, field)
 		default:
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against a field that is added to a type but not to its codec: the field would
-// be lost on the wire.
+// Guards against a field that is added to a message type but not to its codec, so that
+// the field is lost on the wire.
 func TestCodecsCarryEveryField(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for _, pair := range [][2]any{
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -62,12 +62,12 @@
 	f.submit(coltsfootward.Change{Organisation: &coltsfootward.Organisation{Name: name, Rate: coltsfootward.Rate{PerSecond: float64(f.submitted), Burst: 1}}})
 }
 
-// reissue tries to make a withdrawn key valid again.
-func (f *fleet) reissue() {
+// reissueKey tries to make a withdrawn key valid again.
+func (f *fleet) reissueKey() {
 	f.submit(coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: tradersKey, Organisation: "traders"}})
 }
 
-func (f *fleet) withdraw() {
+func (f *fleet) withdrawKey() {
 	f.submit(coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: tradersKey, Organisation: "traders", Withdrawn: true}})
 }
 
@@ -133,20 +133,21 @@
 
 // confirmedDomains returns the failure domains that have confirmed the last
 // revision and those that have not, as reported by m to an operator.
-func (f *fleet) confirmedDomains(m *nodetest.Member) (confirmed, waiting []coltsfootward.FailureDomain) {
+func (f *fleet) confirmedDomains(m *nodetest.Member) (confirmed, unconfirmed []coltsfootward.FailureDomain) {
 	for _, d := range m.Node().InForce(f.submitted) {
 		if d.Revision >= f.submitted {
 			confirmed = append(confirmed, d.Domain)
 			continue
 		}
-		waiting = append(waiting, d.Domain)
+		unconfirmed = append(unconfirmed, d.Domain)
 	}
-	return confirmed, waiting
+	return confirmed, unconfirmed
 }
 
-// Only a few nodes of each failure domain may poll the platform: it serves a
-// few thousand reads per second, which one read per node would exceed.
-func TestOnlyReadersPollTable(t *testing.T) {
+// Guards against overload of the platform. It serves a few thousand reads per second,
+// which periodic reads by every node would exceed, so only a few nodes of each failure
+// domain may poll it.
+func TestOnlyFewNodesPollTable(t *testing.T) {
 	f := newFleet(1, 3, 12)
 	f.settle(t)
 	before := *f.Table
@@ -182,11 +183,11 @@
 	f.Run(15 * time.Second)
 	f.changeIdleRate()
 	queried := f.members[3]
-	connected := func() bool {
+	othersConfirmed := func() bool {
 		confirmed, _ := f.confirmedDomains(queried)
 		return slices.Equal(confirmed, []coltsfootward.FailureDomain{"domain-0", "domain-1"})
 	}
-	if !f.RunUntil(10*time.Second, connected) {
+	if !f.RunUntil(10*time.Second, othersConfirmed) {
 		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", queried.Node().InForce(f.submitted))
 	}
 	f.Run(20 * time.Second)
@@ -201,24 +202,24 @@
 	t.Logf("confirmed everywhere %v after the partition", f.Now()-healed)
 }
 
-// The first member of a failure domain, its collector, answers for the domain.
-// After a restart it knows no other member for a moment. If its answer counted
-// then, a change would be reported as in force although another member does not
-// have it.
+// Guards against a change that is reported as in force although a member lacks it. The
+// first member of a failure domain, its collector, confirms revisions for the domain.
+// Just after a restart it knows no other member, and a confirmation based only on its
+// own revision must not count.
 func TestRestartedCollectorDoesNotConfirmForDomain(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(seed, 2, 6)
 		f.settle(t)
-		behind := f.members[9]
+		outdated := f.members[9]
 		for _, m := range f.members {
-			if m != behind {
-				f.Partition(behind.Instance.ID, m.Instance.ID)
+			if m != outdated {
+				f.Partition(outdated.Instance.ID, m.Instance.ID)
 			}
 		}
-		f.Table.SetInstancePartitioned(behind.Instance.ID, true)
+		f.Table.SetInstancePartitioned(outdated.Instance.ID, true)
 		f.changeIdleRate()
 		for _, m := range f.members[6:] {
-			if m != behind {
+			if m != outdated {
 				m.Kill()
 				m.Restart()
 			}
@@ -227,7 +228,7 @@
 		// the member gone.
 		for range 400 {
 			if confirmed, _ := f.confirmedDomains(f.members[0]); slices.Contains(confirmed, "domain-1") {
-				t.Fatalf("domain-1 confirmed revision %d while %s has %d", f.submitted, behind.Instance.ID, behind.Node().Configuration().Revision())
+				t.Fatalf("domain-1 confirmed revision %d while %s has %d", f.submitted, outdated.Instance.ID, outdated.Node().Configuration().Revision())
 			}
 			f.Run(10 * time.Millisecond)
 		}
@@ -284,8 +285,8 @@
 }
 
 // A key must be rejected at all nodes within seconds after an operator
-// withdraws it, also while the platform takes 30 s for each answer and the
-// change itself therefore arrives late.
+// withdraws it, also while the platform takes 30 s for each response and
+// the change itself therefore arrives late.
 func TestWithdrawnKeyIsRejectedEverywhereWithinSeconds(t *testing.T) {
 	for _, slow := range []time.Duration{0, 30 * time.Second} {
 		t.Run(fmt.Sprintf("platform slower by %v", slow), func(t *testing.T) {
@@ -297,7 +298,7 @@
 			f.Table.ExtraDelay = slow
 			began := f.Now()
 			f.members[10].Node().WithdrawKey(tradersKey)
-			f.After(slow, f.withdraw)
+			f.After(slow, f.withdrawKey)
 			if !f.RunUntil(5*time.Second, func() bool { return f.countAcceptingKey() == 0 }) {
 				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAcceptingKey())
 			}
@@ -316,11 +317,11 @@
 }
 
 // While the platform is unavailable, no key can be withdrawn, so nodes that
-// reach most failure domains accept keys for as long as that lasts, here an
+// reach most failure domains accept keys during the whole outage, here an
 // hour. An isolated failure domain cannot know whether a key was withdrawn and
 // must reject all keys after the grace period, also after its nodes were
 // suspended.
-func TestKeysAreRejectedAfterGraceOnlyWhenIsolated(t *testing.T) {
+func TestOnlyIsolatedDomainRejectsKeysAfterGracePeriod(t *testing.T) {
 	f := newFleet(7, 3, 2)
 	f.settle(t)
 	f.Table.Outage = true
@@ -392,9 +393,9 @@
 	case "change":
 		f.changeIdleRate()
 	case "withdraw":
-		f.withdraw()
+		f.withdrawKey()
 	case "reissue":
-		f.reissue()
+		f.reissueKey()
 	case "kill":
 		m.Kill()
 	case "restart":
@@ -490,7 +491,8 @@
 	}
 }
 
-// summary contains the parts of a configuration that the test compares.
+// summary contains the values of a configuration that the test compares: the rates of
+// the idle organisations, and whether the key is withdrawn.
 type summary struct {
 	rates     [3]float64
 	withdrawn bool
@@ -512,8 +514,8 @@
 	return o
 }
 
-// A page of an old snapshot arrives late, after newer changes. If the node
-// installed it, it would undo those changes.
+// A page of an old snapshot arrives late, after newer changes. If the node put the
+// snapshot in force, it would undo those changes.
 func TestLatePageOfOldSnapshotIsIgnored(t *testing.T) {
 	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 1, Burst: 1})
--- a/core/node/membership_test.go
+++ b/core/node/membership_test.go
@@ -79,13 +79,13 @@
 	replaced.Kill()
 	replaced.Restart()
 	replaced.Announce("quotes", 8)
-	known := func(m *nodetest.Member) bool {
+	knowsNewAddress := func(m *nodetest.Member) bool {
 		return slices.ContainsFunc(m.Node().Status().Upstreams, func(u node.UpstreamStatus) bool {
 			return u.Announcement.Instance.Address == "elsewhere:1" && u.Announcement.Slots == 8
 		})
 	}
 	if !f.RunUntil(10*time.Second, func() bool {
-		return !slices.ContainsFunc(f.members, func(m *nodetest.Member) bool { return m.Alive() && !known(m) })
+		return !slices.ContainsFunc(f.members, func(m *nodetest.Member) bool { return m.Alive() && !knowsNewAddress(m) })
 	}) {
 		t.Error("the new address is not known everywhere after 10 s")
 	}
--- a/core/node/node_test.go
+++ b/core/node/node_test.go
@@ -21,10 +21,11 @@
 	next  node.CallID
 }
 
-// rowTable answers a node's operations on single rows immediately.
+// rowTable is a fake platform table that completes a node's operations immediately.
+// It supports operations on single rows; a scan returns no rows.
 type rowTable map[string]coltsfootward.Row
 
-func (t rowTable) answer(action node.Action) (node.Event, bool) {
+func (t rowTable) complete(action node.Action) (node.Event, bool) {
 	switch a := action.(type) {
 	case node.ReadTable:
 		return node.TableResult{Operation: a.Operation, Rows: []coltsfootward.Row{t[a.Key]}}, true
@@ -61,12 +62,13 @@
 	return s
 }
 
-// handle passes an event to the node and answers its table operations.
+// handle passes an event to the node, completes the table operations that result, and
+// returns all actions.
 func (s *testNode) handle(event node.Event) []node.Action {
 	actions := s.node.Handle(s.now, event)
 	for i := 0; i < len(actions); i++ {
-		if answer, ok := s.table.answer(actions[i]); ok {
-			actions = append(actions, s.node.Handle(s.now, answer)...)
+		if result, ok := s.table.complete(actions[i]); ok {
+			actions = append(actions, s.node.Handle(s.now, result)...)
 		}
 	}
 	return actions
@@ -90,7 +92,7 @@
 	}}})
 }
 
-// request sends a request and returns the resulting refusal or forward.
+// request sends a caller's request and returns the node's Refuse or Forward action.
 func (s *testNode) request() (*node.Refuse, *node.Forward) {
 	s.next++
 	for _, action := range s.handle(node.RequestArrived{Call: s.next, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1}) {
--- a/core/node/overload_test.go
+++ b/core/node/overload_test.go
@@ -48,9 +48,9 @@
 	return all
 }
 
-// Guards against wasted work for callers that time out and go away while other
-// calls wait. If the backend server went on with that work, it would be busy
-// with responses that nobody reads just when it is short of slots, and the next
+// Guards against wasted work for callers that have timed out and disconnected while
+// other calls wait. If the backend server continued that work, its slots would be
+// occupied by responses that nobody reads just when slots are short, and the next
 // callers would time out as well.
 func TestCancelledCallFreesItsSlot(t *testing.T) {
 	s := newNodeWithBackend(t)
@@ -70,8 +70,9 @@
 	}
 }
 
-// The server is busy. The call that has waited longest has low priority; the
-// critical one that arrived last must be dispatched first.
+// Guards against critical calls that time out behind less important ones in the queue.
+// The server is busy, and the call that has waited longest has low priority. The
+// critical call must be dispatched first although it arrived last.
 func TestCriticalCallIsDispatchedFirst(t *testing.T) {
 	s := newNodeWithBackend(t)
 	s.sendPeerCall(1, coltsfootward.PriorityNormal)
@@ -83,10 +84,10 @@
 	}
 }
 
-// A backend server breaks off a request because its own child call was refused.
-// If the layer above retried too, each layer would multiply the attempts of the
-// one below, and the load would hit the deepest service, which is the
-// overloaded one.
+// Guards against retries that multiply along the call chain. A backend server aborts a
+// request because its child call was refused. If the calling service retried as well,
+// each layer would multiply the attempts of the layer below it, and the load would
+// reach the deepest service, which is the overloaded one. So the refusal must be final.
 func TestRefusedChildCallIsFinal(t *testing.T) {
 	s := newNodeWithBackend(t)
 	s.handle(node.MessageArrived{Message: &message.ConfigurationChanges{Changes: []coltsfootward.Change{
@@ -109,8 +110,8 @@
 }
 
 // Every attempt at a service is refused as overloaded. Retries must stop once
-// the retry allowance is used up; after that, the service gets the callers'
-// requests and no more.
+// the retry allowance is used up. After that, the service gets one attempt for each
+// of the callers' requests.
 func TestRetryAllowanceBoundsRetries(t *testing.T) {
 	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 10000, Burst: 10000})
--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -88,8 +88,8 @@
 
 // fault is a failure or an operator's action that is injected during a run.
 type fault struct {
-	name string
-	run  func(f *ratedFleet, m *nodetest.Member, d time.Duration)
+	name   string
+	inject func(f *ratedFleet, m *nodetest.Member, d time.Duration)
 }
 
 var faults = []fault{
@@ -159,7 +159,7 @@
 			m := rapid.SampledFrom(f.nodes).Draw(t, "node")
 			length := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "length")) * time.Millisecond
 			if m.Alive() {
-				chosen.run(f, m, length)
+				chosen.inject(f, m, length)
 			}
 			f.flood(time.Duration(rapid.IntRange(0, 15_000).Draw(t, "wait"))*time.Millisecond, 3*rate.PerSecond)
 		}
@@ -179,9 +179,10 @@
 }
 
 // Two failure domains are 45 ms apart, and tokens have a lifetime of 75 ms. A
-// token from the remote holder arrives after its lifetime, which starts before
-// the draw. If the lifetime started at the arrival, the token could be spent
-// 165 ms after it left the bucket, which accounts for 75 ms only.
+// token from the remote holder arrives when its lifetime has already ended, because
+// the lifetime starts before the draw. If the lifetime started when the token arrives,
+// the token could be spent 165 ms after it left the bucket, whose parameters allow for
+// 75 ms only.
 func TestTokenLifetimeStartsBeforeDraw(t *testing.T) {
 	answered := 0
 	for sender := range 2 {
@@ -202,9 +203,10 @@
 	}
 }
 
-// The nodes that hold the slots of a failure domain are killed, and a restarted
-// one takes the slots over after the lease term. Until then, the parts of the
-// other failure domain must still be granted.
+// Guards against a part of the rate that is lost when the holder of its slot dies. All
+// nodes of a failure domain are killed, and one of them is restarted and takes the
+// slots over after the lease term. Until then, the parts of the other failure domain
+// must still be granted.
 func TestPartIsGrantedAgainAfterTakeover(t *testing.T) {
 	rate := coltsfootward.Rate{PerSecond: 40, Burst: 40}
 	f := newRatedFleet(3, 2, 2, rate)
@@ -227,8 +229,8 @@
 	}
 }
 
-// Demand below the rate must not be refused because the tokens are in other
-// failure domains or expired unspent at nodes that had prefetched them.
+// Guards against refusals of demand below the rate. They occur if the remaining tokens
+// belong to other failure domains, or expire unspent at nodes that prefetched them.
 func TestDemandBelowRateIsNotRefused(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -289,7 +291,7 @@
 
 // Guards against a panic when the only node of a failure domain drains while
 // the platform is unavailable. The node then counts no running member, not even
-// itself, and panicked when it chose a random member to read the table.
+// itself, and the random choice of a member that reads the table panicked.
 func TestLastNodeDrainsDuringOutage(t *testing.T) {
 	f := newRatedFleet(1, 1, 1, coltsfootward.Rate{PerSecond: 1, Burst: 1})
 	f.rig.Run(2 * time.Second)
@@ -307,11 +309,11 @@
 	f := newRatedFleet(1, 2, 1, coltsfootward.Rate{PerSecond: 0.001, Burst: 8})
 	f.rig.Run(2 * time.Second)
 	f.flood(time.Second, 100)
-	machine := f.nodes[0].Node()
+	entry := f.nodes[0].Node()
 	now := coltsfootward.Instant{Monotonic: time.Hour + f.rig.Now(), Expiry: time.Hour + f.rig.Now()}
 	call := node.CallID(1 << 40)
 	for b.Loop() {
 		call++
-		machine.Handle(now, node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1})
+		entry.Handle(now, node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1})
 	}
 }
--- a/core/node/slope_test.go
+++ b/core/node/slope_test.go
@@ -42,7 +42,7 @@
 	f.Run(10 * time.Second)
 	b.ReportMetric(float64(f.Table.Reads-reads)/10, "reads/s")
 	b.ReportMetric(float64(f.Table.Writes-writes)/10, "writes/s")
-	var force, confirmed time.Duration
+	var worstInForce, worstConfirmed time.Duration
 	const changes = 5
 	for range changes {
 		f.changeIdleRate()
@@ -50,14 +50,14 @@
 		if !f.RunUntil(time.Minute, func() bool { return f.upToDate() }) {
 			b.Fatal("change not in force after 1 min")
 		}
-		force = max(force, f.Now()-began)
+		worstInForce = max(worstInForce, f.Now()-began)
 		if !f.RunUntil(time.Minute, func() bool { done, _ := f.confirmedDomains(f.members[7]); return len(done) == 1 }) {
 			b.Fatal("change not confirmed after 1 min")
 		}
-		confirmed = max(confirmed, f.Now()-began)
+		worstConfirmed = max(worstConfirmed, f.Now()-began)
 		f.Run(3 * time.Second)
 	}
-	b.ReportMetric(force.Seconds(), "s-in-force-worst-of-5")
-	b.ReportMetric(confirmed.Seconds(), "s-confirmed-worst-of-5")
+	b.ReportMetric(worstInForce.Seconds(), "s-in-force-worst-of-5")
+	b.ReportMetric(worstConfirmed.Seconds(), "s-confirmed-worst-of-5")
 	b.ReportMetric(0, "ns/op")
 }
--- a/core/node/tick_test.go
+++ b/core/node/tick_test.go
@@ -9,7 +9,8 @@
 	"coltsfootward/core/node"
 )
 
-// Guards against an idle node that wakes up a hundred times a second.
+// Guards against a node that wakes up a hundred times a second, and so uses CPU time,
+// although it has no queued request that needs the short tick interval.
 func TestIdleNodeTicksSeldom(t *testing.T) {
 	s := newRoutedTestNode(t)
 	if wait := s.node.NextTick(); wait < 50*time.Millisecond {
--- a/core/record/hybrid_test.go
+++ b/core/record/hybrid_test.go
@@ -11,9 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against timelines that show an effect before its cause, such as a revision
-// applied at one node before another node created it, because the wall clock of the
-// first is behind. Stamps must keep causal order whatever the wall clocks show.
+// Guards against timelines that show an effect before its cause. For example, one node
+// creates a revision and another applies it, but the second node's wall clock is behind,
+// so the revision seems to be applied before it was created. Stamps must
+// keep causal order whatever the wall clocks show.
 func TestHybridClockKeepsCausalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 3
