--- a/io/caller/key_test.go
+++ b/io/caller/key_test.go
@@ -63,9 +63,10 @@
 	return c.Conn.Write(p)
 }
 
-// A caller's key that leaks into a log, a frame between nodes or a request to a
-// backend server can be used by anyone who reads it there, until it is withdrawn.
-// The test also puts the key into fields where it does not belong, as callers do.
+// Guards against a caller's key that leaks into a log, a frame between nodes or a
+// request to a backend server, where anyone who reads it can use it until it is
+// withdrawn. The test also puts the key into header fields, the path, the query and the
+// body, where it does not belong, as callers do by mistake.
 func TestCallerKeyDoesNotLeak(t *testing.T) {
 	const secret = "s3cret-key-of-the-inspectors"
 	table := iotest.NewTable(
--- a/io/caller/resume_test.go
+++ b/io/caller/resume_test.go
@@ -58,9 +58,9 @@
 }
 
 // A backend server fails in the middle of a download. The caller must receive the
-// complete body, with the remainder from another backend server, or see that the
-// download was aborted. It must never receive parts of two versions.
-func TestInterruptedDownload(t *testing.T) {
+// complete body, with the remainder from another backend server, or be able to detect
+// that the download was aborted. It must never receive a mix of two versions.
+func TestInterruptedDownloadIsResumedOrAborted(t *testing.T) {
 	log := bytes.Repeat([]byte("friction 0.43\n"), 100_000)
 	other := bytes.Repeat([]byte("friction 0.51\n"), 100_000)
 	old := time.Now().Add(-time.Hour)
@@ -73,13 +73,13 @@
 		later               []byte
 	}{
 		{name: "strong tag", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1, later: log, complete: true},
-		{name: "breaks twice", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 2, later: log, complete: true},
+		{name: "aborted twice", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 2, later: log, complete: true},
 		{name: "old date", modified: old, ranges: true, aborts: 1, later: log, complete: true},
-		{name: "young date", modified: time.Now(), ranges: true, aborts: 1, later: log},
+		{name: "recent date", modified: time.Now(), ranges: true, aborts: 1, later: log},
 		{name: "weak tag", tag: `W/"v1"`, laterTag: `W/"v1"`, ranges: true, aborts: 1, later: log},
 		{name: "changed meanwhile", tag: `"v1"`, laterTag: `"v2"`, ranges: true, aborts: 1, later: other},
 		{name: "no ranges", tag: `"v1"`, laterTag: `"v1"`, aborts: 1, later: log},
-		{name: "breaks for ever", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1000, abortAfter: 50_000, later: log},
+		{name: "aborted on every attempt", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1000, abortAfter: 50_000, later: log},
 	} {
 		if test.abortAfter == 0 {
 			test.abortAfter = 300_000
@@ -87,15 +87,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			var served atomic.Int32
 			n, _ := startPair(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				number := served.Add(1)
+				attempt := served.Add(1)
 				content, tag := log, test.tag
-				if number > 1 {
+				if attempt > 1 {
 					content, tag = test.later, test.laterTag
 				}
 				if tag != "" {
 					w.Header().Set("ETag", tag)
 				}
-				if number <= test.aborts {
+				if attempt <= test.aborts {
 					w = &abortingWriter{ResponseWriter: w, remaining: test.abortAfter}
 				}
 				if !test.ranges {
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -79,13 +79,13 @@
 // concurrently, but the responses must come in the order of the requests: otherwise
 // the caller would match responses to the wrong requests.
 func TestPipelinedResponsesKeepOrder(t *testing.T) {
-	first := make(chan struct{})
+	releaseFirst := make(chan struct{})
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
-			<-first
+			<-releaseFirst
 		}
 		if r.URL.Path == "/3" {
-			close(first)
+			close(releaseFirst)
 		}
 		fmt.Fprint(w, r.URL.Path)
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// A request that must not run twice follows one whose response closes the
-// connection. The caller sends the second request again, so the server must not
-// have run it.
+// A caller pipelines two requests. The response to the first closes the connection, and
+// the second must not run twice. The caller gets no response to the second request and
+// sends it again, so the server must not have run it.
 func TestUnrepeatableRequestWaitsForPreviousResponse(t *testing.T) {
 	ran := make(chan string, 2)
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// A truncated response must not look complete, neither with Content-Length nor with
-// chunked encoding.
+// A handler aborts in the middle of a response. The truncated response must not look
+// complete to the caller, neither with Content-Length nor with chunked encoding.
 func TestTruncatedResponseIsDetectable(t *testing.T) {
 	for _, length := range []string{"", "100"} {
 		handler := func(w http.ResponseWriter, _ *http.Request) {
@@ -172,8 +172,9 @@
 	}
 }
 
-// Each kind of bad request gets its own status, and the connection is closed, since
-// the start of the next request is unknown.
+// Guards against bytes of a bad request that are read as the next request, whose start
+// is unknown after it. Each kind of bad request must get its own status, and the
+// connection must be closed.
 func TestBadRequestsAreRefused(t *testing.T) {
 	limits := func() coltsfootward.Limits {
 		return coltsfootward.Limits{HeaderBytes: 1 << 10, BodyBytes: 8, HeaderTimeout: 200 * time.Millisecond}
@@ -201,14 +202,14 @@
 	}
 }
 
-// Shutdown must not abort a pending request: its connection is closed after the
-// response.
+// Guards against a shutdown that aborts a pending request. The server must send the
+// response first and then close the connection.
 func TestShutdownCompletesPendingRequests(t *testing.T) {
 	began := make(chan struct{})
-	end := make(chan struct{})
+	release := make(chan struct{})
 	handler := func(w http.ResponseWriter, _ *http.Request) {
 		close(began)
-		<-end
+		<-release
 		fmt.Fprint(w, "whole")
 	}
 	server, c := serve(t, handler, caller.ServerOptions{})
@@ -217,7 +218,7 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(context.Background()) }()
 	time.Sleep(50 * time.Millisecond)
-	close(end)
+	close(release)
 	_, body, closes := receive(t, bufio.NewReader(c))
 	if body != "whole" || !closes {
 		t.Errorf("got %q, closing %v, want whole and true", body, closes)
@@ -255,7 +256,7 @@
 	handler := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 	limits := func() coltsfootward.Limits { return coltsfootward.Limits{IdleTimeout: 4 * time.Second} }
 	_, c := serve(t, handler, caller.ServerOptions{Limits: limits})
-	requestKeepAlive := func(c net.Conn) string {
+	keepAliveOf := func(c net.Conn) string {
 		send(t, c, getRequest("/urea"))
 		response, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
@@ -263,7 +264,7 @@
 		}
 		return response.Header.Get("Keep-Alive")
 	}
-	if got := requestKeepAlive(c); got != "" {
+	if got := keepAliveOf(c); got != "" {
 		t.Errorf("one connection: got Keep-Alive %q, want none", got)
 	}
 	var others []net.Conn
@@ -279,8 +280,8 @@
 		others = append(others, o)
 	}
 	last := others[len(others)-1]
-	requestKeepAlive(others[0])
-	if got := requestKeepAlive(last); got != "timeout=1" {
+	keepAliveOf(others[0])
+	if got := keepAliveOf(last); got != "timeout=1" {
 		t.Fatalf("300 connections: got Keep-Alive %q, want timeout=1", got)
 	}
 	began := time.Now()
@@ -290,7 +291,7 @@
 	if took := time.Since(began); took < time.Second || took > 2500*time.Millisecond {
 		t.Errorf("the connection was closed after %v, want 1 s to 2.5 s", took)
 	}
-	if got := requestKeepAlive(c); got != "timeout=1" {
+	if got := keepAliveOf(c); got != "timeout=1" {
 		t.Errorf("the first connection: got Keep-Alive %q, want timeout=1", got)
 	}
 }
--- a/io/upstream/outcome_test.go
+++ b/io/upstream/outcome_test.go
@@ -38,10 +38,10 @@
 	// serve handles the n-th request on a connection, whose head has been read,
 	// and reports whether the connection stays open.
 	serve func(c net.Conn, r *http.Request, n int) bool
-	// closes is the point at which connections are closed before a request's head
+	// closesAt is the point at which connections are closed before a request's head
 	// has been read.
-	closes closePoint
-	wait   sync.WaitGroup
+	closesAt closePoint
+	wait     sync.WaitGroup
 
 	mu    sync.Mutex
 	runs  map[string]int
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatalf("listen: %v", err)
 	}
-	f := &faultyServer{listener: l, closes: closes, serve: serve, runs: make(map[string]int)}
+	f := &faultyServer{listener: l, closesAt: closes, serve: serve, runs: make(map[string]int)}
 	f.wait.Go(f.accept)
 	t.Cleanup(f.close)
 	return f
@@ -97,11 +97,11 @@
 
 func (f *faultyServer) serveConn(c net.Conn) {
 	defer c.Close()
-	if f.closes == closeOnAccept {
+	if f.closesAt == closeOnAccept {
 		return
 	}
 	reader := bufio.NewReader(c)
-	if f.closes == closeOnFirstByte {
+	if f.closesAt == closeOnFirstByte {
 		_, _ = reader.Peek(1)
 		return
 	}
@@ -127,11 +127,13 @@
 
 const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
 
-func respond(text string, open bool) func(net.Conn, *http.Request, int) bool {
+// respond returns a serve function that reads the request's body, writes text and
+// reports keepOpen.
+func respond(text string, keepOpen bool) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, r *http.Request, _ int) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(c, text)
-		return open
+		return keepOpen
 	}
 }
 
@@ -196,13 +198,13 @@
 		{name: "body without a length", serve: respond("HTTP/1.1 200 OK\r\n\r\nwho", false), want: unknown, runs: 1},
 		{name: "upgrade that was not requested", serve: respond("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", false), want: unknown, runs: 1},
 		{name: "interim responses first", serve: respond("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"+completeResponse, true), want: "200", runs: 1},
-		{name: "redirect is the caller's to follow", serve: respond("HTTP/1.1 307 Temporary Redirect\r\nContent-Length: 5\r\n\r\nwhole", true), want: "307", runs: 1},
+		{name: "redirect is relayed to the caller", serve: respond("HTTP/1.1 307 Temporary Redirect\r\nContent-Length: 5\r\n\r\nwhole", true), want: "307", runs: 1},
 		{name: "response before the body is read", serve: func(c net.Conn, _ *http.Request, _ int) bool {
 			_, _ = io.WriteString(c, completeResponse)
 			return false
 		}, body: "short", want: "200", runs: 1},
 		{name: "empty body", serve: respond(completeResponse, true), want: "200", runs: 1},
-		{name: "time runs out while it runs", serve: func(c net.Conn, r *http.Request, _ int) bool {
+		{name: "timeout while the request runs", serve: func(c net.Conn, r *http.Request, _ int) bool {
 			_, _ = io.Copy(io.Discard, r.Body)
 			_, _ = c.Read(make([]byte, 1)) // until the node closes the connection
 			return false
@@ -253,8 +255,8 @@
 	}
 }
 
-// With net/http alone the same failure makes the second request reach the backend
-// server twice. This shows that sendGate is needed.
+// Shows that sendGate is needed: with net/http alone, a connection that is closed as the
+// second request arrives makes that request reach the backend server twice.
 func TestNetHTTPTransportSendsTwice(t *testing.T) {
 	backend := newFaultyServer(t, closeNever, func(c net.Conn, r *http.Request, number int) bool {
 		return number == 0 && respond(completeResponse, true)(c, r, number)
