--- a/cmd/coltsload/emulate.go
+++ b/cmd/coltsload/emulate.go
@@ -8,11 +8,11 @@
 	"coltsfootward/core/emulation"
 )
 
-// troubleFrom is when the trouble of an emulated day begins: nodes have learnt by
-// then which services each class of requests needs.
-const troubleFrom = 4 * time.Second
+// disturbanceStart is when the disturbance of an emulation begins. By then, nodes have
+// learnt which services each class of requests needs.
+const disturbanceStart = 4 * time.Second
 
-// emulate plays a routed deployment under a virtual clock.
+// emulate runs a routed deployment under a virtual clock.
 type emulate struct {
 	Deployment string        `long:"deployment" choice:"publisher" choice:"consortium" choice:"fleet" default:"consortium" description:"the deployment"`
 	Duration   time.Duration `long:"duration" default:"20s" description:"how long callers send requests"`
@@ -34,13 +34,13 @@
 	case "fleet":
 		d = emulation.Fleet()
 	}
-	trouble, err := c.trouble(d)
+	disturbance, err := c.disturbance(d)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	o := emulation.Run(d, trouble, c.Duration, c.Seed)
-	fmt.Printf("%s, seed %d, trouble at %s from %s on for %s\n\n%s\n", d.Name, c.Seed, trouble.Service, troubleFrom, c.For, o)
+	o := emulation.Run(d, disturbance, c.Duration, c.Seed)
+	fmt.Printf("%s, seed %d, trouble at %s from %s on for %s\n\n%s\n", d.Name, c.Seed, disturbance.Service, disturbanceStart, c.For, o)
 	for _, s := range d.Services {
 		fmt.Printf("%-13s %6d arrivals at backend servers\n", s.Name, o.Arrivals(s.Name))
 	}
@@ -48,8 +48,9 @@
 	return nil
 }
 
-// trouble checks the flags, of which the library knows only the types.
-func (c *emulate) trouble(d emulation.Deployment) (emulation.Trouble, error) {
+// disturbance validates the flags and converts them to an emulation.Disturbance. The
+// flags library checks their types only.
+func (c *emulate) disturbance(d emulation.Deployment) (emulation.Disturbance, error) {
 	service := d.Services[len(d.Services)-1]
 	found := c.Service == ""
 	for _, s := range d.Services {
@@ -59,19 +60,19 @@
 	}
 	switch {
 	case !found:
-		return emulation.Trouble{}, fmt.Errorf("coltsload: deployment %s has no service %q: leave --service out for %s", d.Name, c.Service, service.Name)
+		return emulation.Disturbance{}, fmt.Errorf("coltsload: deployment %s has no service %q: leave --service out for %s", d.Name, c.Service, service.Name)
 	case c.Duration < time.Second || c.Duration > time.Hour:
-		return emulation.Trouble{}, errors.New("coltsload: --duration must be from 1s to 1h")
+		return emulation.Disturbance{}, errors.New("coltsload: --duration must be from 1s to 1h")
 	case c.Burst < 0 || c.Burst > 100:
-		return emulation.Trouble{}, errors.New("coltsload: --burst must be from 0 to 100")
+		return emulation.Disturbance{}, errors.New("coltsload: --burst must be from 0 to 100")
 	case c.Lost < 0 || c.Lost > service.Upstreams:
-		return emulation.Trouble{}, fmt.Errorf("coltsload: --lost must be from 0 to the service's %d backend servers", service.Upstreams)
+		return emulation.Disturbance{}, fmt.Errorf("coltsload: --lost must be from 0 to the service's %d backend servers", service.Upstreams)
 	case c.Rejects < 0 || c.Rejects > 1 || c.Fails < 0 || c.Fails > 1:
-		return emulation.Trouble{}, errors.New("coltsload: --rejects and --fails are parts, from 0 to 1")
+		return emulation.Disturbance{}, errors.New("coltsload: --rejects and --fails must be from 0 to 1")
 	}
-	span := emulation.Span{From: troubleFrom, To: troubleFrom + c.For}
-	return emulation.Trouble{
-		Burst: c.Burst, BurstSpan: span, Service: service.Name, Lost: c.Lost, LostAt: troubleFrom,
-		Rejects: c.Rejects, RejectSpan: span, Fails: c.Fails, FailSpan: span,
+	span := emulation.Span{From: disturbanceStart, To: disturbanceStart + c.For}
+	return emulation.Disturbance{
+		Burst: c.Burst, BurstSpan: span, Service: service.Name, LostServers: c.Lost, LostAt: disturbanceStart,
+		RejectShare: c.Rejects, RejectSpan: span, FailShare: c.Fails, FailSpan: span,
 	}, nil
 }
--- a/cmd/daemon/peer.go
+++ b/cmd/daemon/peer.go
@@ -27,7 +27,7 @@
 }
 
 // ServeCall implements peer.Handler.
-func (h *peerHandler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (h *peerHandler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	<-h.ready
 	h.upstream.ServeCall(ctx, call, w)
 }
@@ -44,7 +44,7 @@
 func (h *peerHandler) PeerConnected(coltsfootward.Instance) {
 	<-h.ready
 	h.metrics.connections.connected()
-	if opened, ok := h.metrics.connections.dueReport(time.Now()); ok {
+	if opened, ok := h.metrics.connections.takeReport(time.Now()); ok {
 		h.reporter.event(record.PeersConnected, "count", strconv.Itoa(opened))
 	}
 }
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -27,8 +27,8 @@
 	claims map[Key]*entry
 	// order contains the claims sorted by the time they were granted.
 	order []*entry
-	// answerBytes is the size of the kept responses in bytes.
-	answerBytes int
+	// responseBytes is the size of the retained responses in bytes.
+	responseBytes int
 }
 
 // entry is one claim. It stays in order until its retention ends, even if it was
@@ -41,7 +41,7 @@
 	granted   time.Duration
 	ended     bool
 	execution coltsfootward.Execution
-	answer    *Answer
+	response  *RetainedResponse
 }
 
 // NewHolder returns the holder for a term that began at began, of a lease that
@@ -64,7 +64,7 @@
 func (h *Holder) Claim(now coltsfootward.Instant, r Request) Verdict {
 	h.expire(now)
 	if e, ok := h.claims[r.Key]; ok {
-		return h.decideRepeat(now, e, r)
+		return h.decideRetained(now, e, r)
 	}
 	if v, ok := h.rejectUnverifiable(now, r.Key); ok {
 		return v
@@ -79,23 +79,23 @@
 	e := &entry{key: r.Key, id: r.ID, content: r.Content, granted: now.Monotonic}
 	h.claims[r.Key] = e
 	h.order = append(h.order, e)
-	return Verdict{Decision: Granted, Life: h.options.Life}
+	return Verdict{Decision: Granted, Lifetime: h.options.Lifetime}
 }
 
-// runningRetryAfter is the retry delay for repeats of a running request: short
-// enough to fetch the response soon, long enough that waiting callers do not
-// cause significant load.
+// runningRetryAfter is the retry delay for repeated requests while the first request
+// is running: short enough that callers get the response soon, long enough that
+// waiting callers do not cause significant load.
 const runningRetryAfter = time.Second
 
-// decideRepeat decides on a request whose key has a retained claim.
-func (h *Holder) decideRepeat(now coltsfootward.Instant, e *entry, r Request) Verdict {
+// decideRetained decides on a request whose key has a retained claim.
+func (h *Holder) decideRetained(now coltsfootward.Instant, e *entry, r Request) Verdict {
 	switch {
 	case e.content != r.Content:
 		return Verdict{Decision: Reused}
 	case e.ended:
-		return Verdict{Decision: AlreadyRun, Answer: e.answer, Execution: e.execution}
-	case e.id == r.ID && now.Monotonic < e.granted+h.options.Life:
-		return Verdict{Decision: Granted, Life: e.granted + h.options.Life - now.Monotonic}
+		return Verdict{Decision: AlreadyRun, Response: e.response, Execution: e.execution}
+	case e.id == r.ID && now.Monotonic < e.granted+h.options.Lifetime:
+		return Verdict{Decision: Granted, Lifetime: e.granted + h.options.Lifetime - now.Monotonic}
 	default:
 		return Verdict{Decision: Running, RetryAfter: runningRetryAfter}
 	}
@@ -107,10 +107,10 @@
 	created, ok := key.createdAt()
 	earliest, latest := h.wallBounds(now)
 	if ok {
-		// If such a key were granted now, a later holder would take it for a key
-		// created during its own term.
-		if ahead := created.Sub(earliest) - h.options.ClockMargin; ahead > 0 {
-			return Verdict{Decision: Early, RetryAfter: ahead}, true
+		// If a key with a timestamp in the future were granted now, a later holder
+		// would take it for a key created during its own term.
+		if lead := created.Sub(earliest) - h.options.ClockMargin; lead > 0 {
+			return Verdict{Decision: Early, RetryAfter: lead}, true
 		}
 		if latest.Sub(created) >= h.options.retention()-h.options.ClockMargin {
 			return Verdict{Decision: Forgotten}, true
@@ -145,7 +145,7 @@
 // certainly did not run can be claimed again. End ignores a claim that is no longer
 // current: the message may have been delayed, and the key may have been claimed
 // again since.
-func (h *Holder) End(now coltsfootward.Instant, key Key, id ID, execution coltsfootward.Execution, answer *Answer) {
+func (h *Holder) End(now coltsfootward.Instant, key Key, id ID, execution coltsfootward.Execution, response *RetainedResponse) {
 	h.expire(now)
 	e, ok := h.claims[key]
 	if !ok || e.id != id || e.ended {
@@ -157,9 +157,9 @@
 	}
 	e.ended = true
 	e.execution = execution
-	if size := answer.size(); answer != nil && h.answerBytes+size <= h.options.MaximumAnswerBytes {
-		e.answer = answer
-		h.answerBytes += size
+	if size := response.size(); response != nil && h.responseBytes+size <= h.options.RetainedResponseBytes {
+		e.response = response
+		h.responseBytes += size
 	}
 }
 
@@ -174,7 +174,7 @@
 		if h.claims[e.key] == e {
 			delete(h.claims, e.key)
 		}
-		h.answerBytes -= e.answer.size()
+		h.responseBytes -= e.response.size()
 		h.order[count] = nil
 		count++
 	}
--- a/core/emulation/caller.go
+++ b/core/emulation/caller.go
@@ -11,8 +11,8 @@
 	// callerRetries is how often a caller retries a request that was not
 	// served.
 	callerRetries = 1
-	// callerBackoff is the wait before a retry unless a refusal asks for
-	// another.
+	// callerBackoff is the wait before a retry, unless a refusal contains a
+	// different one.
 	callerBackoff = 100 * time.Millisecond
 	// A caller waits for at most 1/maxWaitDivisor of its remaining time before
 	// a retry.
@@ -76,7 +76,7 @@
 
 func (w *world) finish(req *callerRequest, o *nodetest.Outcome) {
 	took := w.now() - req.arrived
-	if o.Served() {
+	if o.Succeeded() {
 		w.outcome.addServed(req.class, req.arrived, took)
 		return
 	}
--- a/core/emulation/deployment.go
+++ b/core/emulation/deployment.go
@@ -38,8 +38,8 @@
 	// child calls.
 	Work time.Duration
 	// Objective is the latency up to which a response has its full worth,
-	// Deadline the total time that a caller waits, Timeout the route's own
-	// limit.
+	// Deadline the total time that a caller waits, Timeout the timeout of the
+	// route.
 	Objective, Deadline, Timeout time.Duration
 	// Worth is the value of a response within the objective, LateWorth that of
 	// a later one.
@@ -56,8 +56,8 @@
 	Domains  []coltsfootward.FailureDomain
 	Services []Service
 	Classes  []Class
-	// RetryShare and RetryCapacity limit the retries of each service.
-	RetryShare, RetryCapacity float64
+	// RetryShare and RetryBurst limit the retries of each service.
+	RetryShare, RetryBurst float64
 }
 
 // class returns the class with the given name, or the zero value if there is
@@ -85,8 +85,9 @@
 	return total
 }
 
-// Publisher is a publisher of price bulletins. Its live quotes are the deepest
-// service and have few slots; an order makes eight calls to it.
+// Publisher returns the deployment of a publisher of price bulletins. Its live
+// quotes are the deepest service and have few slots; an order makes eight calls
+// to it.
 func Publisher() Deployment {
 	return Deployment{
 		Name:    "publisher",
@@ -106,12 +107,12 @@
 			{Name: "index", Service: "publications", Work: 15 * time.Millisecond, Deadline: 2 * time.Second, Timeout: 2 * time.Second, ChildCalls: ChildCalls{Class: "feed", Count: 4}},
 			{Name: "feed", Service: "quotes", Work: 15 * time.Millisecond, Deadline: 700 * time.Millisecond, Timeout: 700 * time.Millisecond},
 		},
-		RetryShare: 0.2, RetryCapacity: 48,
+		RetryShare: 0.2, RetryBurst: 48,
 	}
 }
 
-// Consortium is a shared testing platform. A filing makes ten calls to the
-// deepest service, which has three backend servers.
+// Consortium returns the deployment of a shared testing platform. A certificate
+// makes ten calls to the deepest service, which has three backend servers.
 func Consortium() Deployment {
 	return Deployment{
 		Name:    "consortium",
@@ -131,13 +132,13 @@
 			{Name: "calibration", Service: "logs", Work: 15 * time.Millisecond, Deadline: 2500 * time.Millisecond, Timeout: 2500 * time.Millisecond, ChildCalls: ChildCalls{Class: "tyre", Count: 5}},
 			{Name: "tyre", Service: "sections", Work: 55 * time.Millisecond, Deadline: 700 * time.Millisecond, Timeout: 700 * time.Millisecond},
 		},
-		RetryShare: 0.2, RetryCapacity: 47,
+		RetryShare: 0.2, RetryBurst: 47,
 	}
 }
 
-// Fleet is a publisher of price bulletins on many small instances. Each
-// instance gets about three callers' requests per second, so it seldom receives
-// load reports of the services that those requests need.
+// Fleet returns the deployment of a publisher of price bulletins on many small
+// instances. Each instance gets about three callers' requests per second, so it
+// seldom receives load reports of the services that those requests need.
 func Fleet() Deployment {
 	return Deployment{
 		Name:    "fleet",
@@ -157,6 +158,6 @@
 			{Name: "index", Service: "publications", Work: 15 * time.Millisecond, Deadline: 2 * time.Second, Timeout: 2 * time.Second, ChildCalls: ChildCalls{Class: "feed", Count: 4}},
 			{Name: "feed", Service: "quotes", Work: 57 * time.Millisecond, Deadline: 700 * time.Millisecond, Timeout: 700 * time.Millisecond},
 		},
-		RetryShare: 0.2, RetryCapacity: 100,
+		RetryShare: 0.2, RetryBurst: 100,
 	}
 }
--- a/core/emulation/run.go
+++ b/core/emulation/run.go
@@ -13,8 +13,8 @@
 
 const (
 	host = "mesh.example"
-	// formationTime is the time before callers send requests. Nodes discover
-	// each other and load the configuration.
+	// formationTime is the time before callers send requests, in which the nodes
+	// discover each other and load the configuration.
 	formationTime = 8 * time.Second
 	// nearDelay and farDelay are the one-way network delays within a failure
 	// domain and between two domains.
@@ -36,32 +36,33 @@
 
 func (s Span) contains(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// Trouble is the disturbance of a run: a burst of requests or faults of a
-// service. The zero value means none.
-type Trouble struct {
+// Disturbance describes a burst of requests and the faults of a service during
+// a run. The zero value means none.
+type Disturbance struct {
 	// Burst multiplies the rate of callers' requests during BurstSpan; zero
 	// means 1.
 	Burst     float64
 	BurstSpan Span
 	// Service is the service that the following fields concern.
 	Service coltsfootward.ServiceName
-	// Lost is how many of its backend servers are lost for good at LostAt.
-	Lost   int
-	LostAt time.Duration
-	// Rejects is the fraction of requests that its backend servers reject
+	// LostServers is how many of its backend servers are killed at LostAt and
+	// not restarted.
+	LostServers int
+	LostAt      time.Duration
+	// RejectShare is the fraction of requests that its backend servers reject
 	// during RejectSpan, whatever their load.
-	Rejects    float64
-	RejectSpan Span
-	// Fails is the fraction of its executions that end without a response
-	// during FailSpan.
-	Fails    float64
-	FailSpan Span
+	RejectShare float64
+	RejectSpan  Span
+	// FailShare is the fraction of requests that its backend servers execute but
+	// do not answer during FailSpan.
+	FailShare float64
+	FailSpan  Span
 }
 
-// Run runs a deployment with the given time of traffic and returns the outcome.
-// The result depends only on the arguments.
-func Run(d Deployment, t Trouble, length time.Duration, seed uint64) *Outcome {
-	w := &world{deployment: d, disturbance: t, length: length, rig: nodetest.New(seed), source: rand.New(rand.NewPCG(seed, 7))}
+// Run runs a deployment with traffic for the given length of time and returns
+// the outcome. The result depends only on the arguments.
+func Run(d Deployment, disturbance Disturbance, length time.Duration, seed uint64) *Outcome {
+	w := &world{deployment: d, disturbance: disturbance, length: length, rig: nodetest.New(seed), source: rand.New(rand.NewPCG(seed, 7))}
 	w.rig.Delay = func(from, to coltsfootward.Instance) time.Duration {
 		if from.Domain == to.Domain {
 			return nearDelay
@@ -86,7 +87,7 @@
 // world is the state of one run.
 type world struct {
 	deployment   Deployment
-	disturbance  Trouble
+	disturbance  Disturbance
 	length       time.Duration
 	rig          *nodetest.Rig
 	source       *rand.Rand
@@ -109,11 +110,11 @@
 			m := w.rig.Add(node.Options{
 				Self: nodetest.Instance(id, domain), Domains: w.deployment.Domains, Routed: true, Service: s.Name,
 				ConfigurationSpread: 2 * time.Second,
-				RetryShare:          w.deployment.RetryShare, RetryCapacity: w.deployment.RetryCapacity,
+				RetryShare:          w.deployment.RetryShare, RetryBurst: w.deployment.RetryBurst,
 			})
 			w.members = append(w.members, m)
 			w.services[m] = s
-			m.Read(document)
+			m.ReadConfiguration(document)
 			w.configureBackend(m, s, s.Speeds[i%len(s.Speeds)])
 			m.Announce(s.Name, s.Slots)
 		}
@@ -141,7 +142,7 @@
 // server.
 func (w *world) configureBackend(m *nodetest.Member, s Service, speed float64) {
 	b := m.Backend
-	b.AnswersFailures = true
+	b.RespondsOnFailure = true
 	b.ServiceTime = func(call message.Call) time.Duration {
 		work := w.deployment.class(call.Route).Work.Seconds() / speed * (0.6 + 0.8*w.source.Float64())
 		if float64(b.Running()) > slowdownThreshold*float64(s.Slots) {
@@ -165,10 +166,10 @@
 		return
 	}
 	b.Reject = func(message.Call) bool {
-		return w.disturbance.RejectSpan.contains(w.now()) && w.source.Float64() < w.disturbance.Rejects
+		return w.disturbance.RejectSpan.contains(w.now()) && w.source.Float64() < w.disturbance.RejectShare
 	}
 	b.Fail = func(message.Call) bool {
-		return w.disturbance.FailSpan.contains(w.now()) && w.source.Float64() < w.disturbance.Fails
+		return w.disturbance.FailSpan.contains(w.now()) && w.source.Float64() < w.disturbance.FailShare
 	}
 }
 
@@ -176,7 +177,7 @@
 func (w *world) scheduleLosses() {
 	lost := 0
 	for _, m := range w.members {
-		if w.services[m].Name == w.disturbance.Service && lost < w.disturbance.Lost {
+		if w.services[m].Name == w.disturbance.Service && lost < w.disturbance.LostServers {
 			lost++
 			w.rig.After(w.disturbance.LostAt, m.Kill)
 		}
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -26,7 +26,7 @@
 	source  *rand.Rand
 	members []*clusterMember
 	byID    map[coltsfootward.InstanceID]*clusterMember
-	// blocked reports whether a message is lost.
+	// blocked reports whether a message between two instances is lost. Nil loses none.
 	blocked func(from, to coltsfootward.Instance) bool
 	// countBytes enables the counting of bytes and links.
 	countBytes      bool
@@ -126,8 +126,8 @@
 	c.now = end
 }
 
-// runUntil runs runUntil done returns true, at most for limit. It returns the elapsed time
-// and whether done returned true.
+// runUntil runs the cluster until done returns true, at most for limit. It returns the
+// elapsed time and whether done returned true.
 func (c *cluster) runUntil(limit time.Duration, done func() bool) (time.Duration, bool) {
 	start := c.now
 	for !done() {
--- a/core/node/claims.go
+++ b/core/node/claims.go
@@ -27,9 +27,9 @@
 	// does not reach the holder, the holder treats the request as running until
 	// the claim's window has passed.
 	maxClaimEndSends = 25
-	// MaximumKeptAnswer is the maximum body size, in bytes, of an answer that
-	// is retained for repeated requests.
-	MaximumKeptAnswer = 16 << 10
+	// MaximumRetainedResponseBytes is the maximum body size, in bytes, of a
+	// response that is retained for repeated requests.
+	MaximumRetainedResponseBytes = 16 << 10
 )
 
 // entryClaim is a request's claim at its entry node.
@@ -37,7 +37,7 @@
 	call    *entryCall
 	request claim.Request
 	slot    slotID
-	// holder is the instance that was asked last.
+	// holder is the instance to which the request was last sent.
 	holder coltsfootward.Instance
 	// redirects counts the answers from nodes that do not hold the slot.
 	redirects int
@@ -57,8 +57,8 @@
 	resendAt time.Duration
 }
 
-// claimsComponent deduplicates requests by idempotency key over all nodes. Each key
-// belongs to one slot, and only the holder of that slot's lease grants it.
+// claimsComponent deduplicates requests by idempotency key over all nodes. Each
+// key belongs to one slot, and only the holder of that slot's lease grants it.
 type claimsComponent struct {
 	node  *Node
 	slots slotDirectory
@@ -87,7 +87,7 @@
 }
 
 // claim requests a claim for the call. The call then continues with
-// entryPart.claimed, or it is refused.
+// entryComponent.claimGranted, or it is refused.
 func (p *claimsComponent) claim(call *entryCall) {
 	key := claim.Key{Organisation: call.head.Organisation, Text: call.head.IdempotencyKey}
 	c := &entryClaim{
@@ -172,9 +172,9 @@
 	}
 	if m.Verdict.Decision == claim.Elsewhere {
 		p.slots.noteHolder(c.slot, m.Holder)
-		// The next candidate may hold the slot. If no candidate does, the
-		// request goes to the slot's holder of that time after
-		// claimResendInterval.
+		// The next candidate may hold the slot. If none of the candidates does,
+		// the request is sent again after claimResendInterval, to the node that
+		// is assumed to hold the slot by then.
 		c.redirects++
 		if c.redirects%slotWatchers != 0 {
 			p.sendRequest(c)
@@ -187,7 +187,7 @@
 		return
 	}
 	c.granted = true
-	c.expires = p.node.now.Expiry + m.Verdict.Life - age
+	c.expires = p.node.now.Expiry + m.Verdict.Lifetime - age
 	p.node.entry.claimGranted(c.call)
 }
 
@@ -195,8 +195,8 @@
 func (p *claimsComponent) refuse(call *entryCall, v claim.Verdict) {
 	call.claim = nil
 	p.node.report(record.ClaimRefused, field("request", string(call.head.Request)), field("decision", string(v.Decision)))
-	if v.Decision == claim.AlreadyRun && v.Answer != nil {
-		p.node.entry.replay(call, v.Answer)
+	if v.Decision == claim.AlreadyRun && v.Response != nil {
+		p.node.entry.replay(call, v.Response)
 		return
 	}
 	p.node.entry.finish(call, claimRefusal(v))
@@ -228,14 +228,14 @@
 
 // ended reports the end of the call to the holder. If the request certainly did
 // not run, its key becomes available again.
-func (p *claimsComponent) ended(call *entryCall, execution coltsfootward.Execution, answer *claim.Answer) {
+func (p *claimsComponent) ended(call *entryCall, execution coltsfootward.Execution, response *claim.RetainedResponse) {
 	c := call.claim
 	call.claim = nil
 	delete(p.pendingClaims, c.request.ID)
 	if c.holder.ID == "" {
 		return // the request was never sent
 	}
-	end := message.ClaimEnd{Key: c.request.Key, ID: c.request.ID, Execution: execution, Answer: answer}
+	end := message.ClaimEnd{Key: c.request.Key, ID: c.request.ID, Execution: execution, Response: response}
 	if c.holder.ID == p.node.options.Self.ID {
 		p.recordEnd(end)
 		return
@@ -254,7 +254,7 @@
 
 func (p *claimsComponent) recordEnd(m message.ClaimEnd) {
 	if h, ok := p.claimsOf(p.slotOf(m.Key)); ok {
-		h.claims.End(p.node.now, m.Key, m.ID, m.Execution, m.Answer)
+		h.claims.End(p.node.now, m.Key, m.ID, m.Execution, m.Response)
 	}
 }
 
@@ -314,8 +314,9 @@
 	}
 }
 
-// noteUnanswered records that the instance asked last did not answer, so that
-// the next assumed holder of the slot is asked.
+// noteUnanswered records that the instance to which the request was last sent
+// did not answer, so that the request goes to the next assumed holder of the
+// slot.
 func (p *claimsComponent) noteUnanswered(c *entryClaim) {
 	if c.holder.ID != "" && c.holder.ID != p.node.options.Self.ID {
 		p.slots.noteHolder(c.slot, coltsfootward.Instance{})
--- a/core/node/configuration_test.go
+++ b/core/node/configuration_test.go
@@ -62,12 +62,12 @@
 	f.submit(coltsfootward.Change{Organisation: &coltsfootward.Organisation{Name: name, Rate: coltsfootward.Rate{PerSecond: float64(f.submitted), Burst: 1}}})
 }
 
-// reissue tries to make a withdrawn key valid again.
-func (f *fleet) reissue() {
+// reissueKey tries to make a withdrawn key valid again.
+func (f *fleet) reissueKey() {
 	f.submit(coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: tradersKey, Organisation: "traders"}})
 }
 
-func (f *fleet) withdraw() {
+func (f *fleet) withdrawKey() {
 	f.submit(coltsfootward.Change{Key: &coltsfootward.Key{ID: "k", Digest: tradersKey, Organisation: "traders", Withdrawn: true}})
 }
 
@@ -75,8 +75,8 @@
 // domains, have the last revision in force.
 func (f *fleet) upToDate(domains ...coltsfootward.FailureDomain) bool {
 	for _, m := range f.members {
-		counts := len(domains) == 0 || slices.Contains(domains, m.Instance.Domain)
-		if m.Alive() && counts && m.Node().Configuration().Revision() != f.submitted {
+		included := len(domains) == 0 || slices.Contains(domains, m.Instance.Domain)
+		if m.Alive() && included && m.Node().Configuration().Revision() != f.submitted {
 			return false
 		}
 	}
@@ -121,7 +121,7 @@
 	return o.Refusal.Kind != coltsfootward.RefusalUnauthenticated && o.Refusal.Kind != coltsfootward.RefusalConfiguration
 }
 
-func (f *fleet) countAccepting() int {
+func (f *fleet) countAcceptingKey() int {
 	count := 0
 	for _, m := range f.members {
 		if m.Alive() && acceptsKey(m) {
@@ -133,20 +133,21 @@
 
 // confirmedDomains returns the failure domains that have confirmed the last
 // revision and those that have not, as reported by m to an operator.
-func (f *fleet) confirmedDomains(m *nodetest.Member) (confirmed, waiting []coltsfootward.FailureDomain) {
-	for _, d := range m.Node().InForce(f.submitted) {
+func (f *fleet) confirmedDomains(m *nodetest.Member) (confirmed, unconfirmed []coltsfootward.FailureDomain) {
+	for _, d := range m.Node().WatchRevision(f.submitted) {
 		if d.Revision >= f.submitted {
 			confirmed = append(confirmed, d.Domain)
 			continue
 		}
-		waiting = append(waiting, d.Domain)
+		unconfirmed = append(unconfirmed, d.Domain)
 	}
-	return confirmed, waiting
+	return confirmed, unconfirmed
 }
 
-// Only a few nodes of each failure domain may poll the platform: it serves a
-// few thousand reads per second, which one read per node would exceed.
-func TestOnlyReadersPollTable(t *testing.T) {
+// Guards against overload of the platform. It serves a few thousand reads per second,
+// which periodic reads by every node would exceed, so only a few nodes of each failure
+// domain may poll it.
+func TestOnlyFewNodesPollTable(t *testing.T) {
 	f := newFleet(1, 3, 12)
 	f.settle(t)
 	before := *f.Table
@@ -178,47 +179,47 @@
 	f := newFleet(2, 3, 4)
 	f.settle(t)
 	f.members[1].Kill()
-	f.CutDomain("domain-2", true)
+	f.PartitionDomain("domain-2", true)
 	f.Run(15 * time.Second)
 	f.changeIdleRate()
-	asked := f.members[3]
-	connected := func() bool {
-		confirmed, _ := f.confirmedDomains(asked)
+	queried := f.members[3]
+	othersConfirmed := func() bool {
+		confirmed, _ := f.confirmedDomains(queried)
 		return slices.Equal(confirmed, []coltsfootward.FailureDomain{"domain-0", "domain-1"})
 	}
-	if !f.RunUntil(10*time.Second, connected) {
-		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", asked.Node().InForce(f.submitted))
+	if !f.RunUntil(10*time.Second, othersConfirmed) {
+		t.Fatalf("got %v, want domain-0 and domain-1 confirmed", queried.Node().WatchRevision(f.submitted))
 	}
 	f.Run(20 * time.Second)
-	if _, waiting := f.confirmedDomains(asked); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
+	if _, waiting := f.confirmedDomains(queried); !slices.Equal(waiting, []coltsfootward.FailureDomain{"domain-2"}) {
 		t.Errorf("got %v unconfirmed, want domain-2 alone", waiting)
 	}
 	f.HealDomain("domain-2")
 	healed := f.Now()
-	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(asked); return len(confirmed) == 3 }) {
-		t.Errorf("got %v 13 s after the partition, want all confirmed", asked.Node().InForce(f.submitted))
+	if !f.RunUntil(13*time.Second, func() bool { confirmed, _ := f.confirmedDomains(queried); return len(confirmed) == 3 }) {
+		t.Errorf("got %v 13 s after the partition, want all confirmed", queried.Node().WatchRevision(f.submitted))
 	}
 	t.Logf("confirmed everywhere %v after the partition", f.Now()-healed)
 }
 
-// The first member of a failure domain, its collector, answers for the domain.
-// After a restart it knows no other member for a moment. If its answer counted
-// then, a change would be reported as in force although another member does not
-// have it.
+// Guards against a change that is reported as in force although a member lacks it. The
+// first member of a failure domain, its collector, confirms revisions for the domain.
+// Just after a restart it knows no other member, and a confirmation based only on its
+// own revision must not count.
 func TestRestartedCollectorDoesNotConfirmForDomain(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(seed, 2, 6)
 		f.settle(t)
-		behind := f.members[9]
+		outdated := f.members[9]
 		for _, m := range f.members {
-			if m != behind {
-				f.Cut(behind.Instance.ID, m.Instance.ID)
+			if m != outdated {
+				f.Partition(outdated.Instance.ID, m.Instance.ID)
 			}
 		}
-		f.Table.CutInstance(behind.Instance.ID, true)
+		f.Table.SetInstancePartitioned(outdated.Instance.ID, true)
 		f.changeIdleRate()
 		for _, m := range f.members[6:] {
-			if m != behind {
+			if m != outdated {
 				m.Kill()
 				m.Restart()
 			}
@@ -227,7 +228,7 @@
 		// the member gone.
 		for range 400 {
 			if confirmed, _ := f.confirmedDomains(f.members[0]); slices.Contains(confirmed, "domain-1") {
-				t.Fatalf("domain-1 confirmed revision %d while %s has %d", f.submitted, behind.Instance.ID, behind.Node().Configuration().Revision())
+				t.Fatalf("domain-1 confirmed revision %d while %s has %d", f.submitted, outdated.Instance.ID, outdated.Node().Configuration().Revision())
 			}
 			f.Run(10 * time.Millisecond)
 		}
@@ -284,27 +285,27 @@
 }
 
 // A key must be rejected at all nodes within seconds after an operator
-// withdraws it, also while the platform takes 30 s for each answer and the
-// change itself therefore arrives late.
+// withdraws it, also while the platform takes 30 s for each response and
+// the change itself therefore arrives late.
 func TestWithdrawnKeyIsRejectedEverywhereWithinSeconds(t *testing.T) {
 	for _, slow := range []time.Duration{0, 30 * time.Second} {
 		t.Run(fmt.Sprintf("platform slower by %v", slow), func(t *testing.T) {
 			f := newFleet(6, 3, 8)
 			f.settle(t)
-			if got := f.countAccepting(); got != 24 {
+			if got := f.countAcceptingKey(); got != 24 {
 				t.Fatalf("before the withdrawal: key accepted at %d nodes, want 24", got)
 			}
-			f.Table.Slow = slow
+			f.Table.ExtraDelay = slow
 			began := f.Now()
 			f.members[10].Node().WithdrawKey(tradersKey)
-			f.After(slow, f.withdraw)
-			if !f.RunUntil(5*time.Second, func() bool { return f.countAccepting() == 0 }) {
-				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAccepting())
+			f.After(slow, f.withdrawKey)
+			if !f.RunUntil(5*time.Second, func() bool { return f.countAcceptingKey() == 0 }) {
+				t.Fatalf("key still accepted at %d nodes after 5 s", f.countAcceptingKey())
 			}
 			t.Logf("key rejected everywhere after %v", f.Now()-began)
 			for range 60 {
 				f.Run(time.Second)
-				if got := f.countAccepting(); got != 0 {
+				if got := f.countAcceptingKey(); got != 0 {
 					t.Fatalf("key accepted again at %d nodes after %v", got, f.Now()-began)
 				}
 			}
@@ -316,25 +317,25 @@
 }
 
 // While the platform is unavailable, no key can be withdrawn, so nodes that
-// reach most failure domains accept keys for as long as that lasts, here an
+// reach most failure domains accept keys during the whole outage, here an
 // hour. An isolated failure domain cannot know whether a key was withdrawn and
 // must reject all keys after the grace period, also after its nodes were
 // suspended.
-func TestKeysAreRejectedAfterGraceOnlyWhenIsolated(t *testing.T) {
+func TestOnlyIsolatedDomainRejectsKeysAfterGracePeriod(t *testing.T) {
 	f := newFleet(7, 3, 2)
 	f.settle(t)
 	f.Table.Outage = true
 	f.Run(time.Hour)
-	if got := f.countAccepting(); got != 6 {
+	if got := f.countAcceptingKey(); got != 6 {
 		t.Fatalf("after an outage of 1 h: key accepted at %d nodes, want 6", got)
 	}
-	f.CutDomain("domain-1", true)
+	f.PartitionDomain("domain-1", true)
 	f.Run(9 * time.Minute)
-	if got := f.countAccepting(); got != 6 {
+	if got := f.countAcceptingKey(); got != 6 {
 		t.Errorf("within the grace period: key accepted at %d nodes, want 6", got)
 	}
 	f.Run(3 * time.Minute)
-	if got := f.countAccepting(); got != 4 || acceptsKey(f.members[2]) || acceptsKey(f.members[3]) {
+	if got := f.countAcceptingKey(); got != 4 || acceptsKey(f.members[2]) || acceptsKey(f.members[3]) {
 		t.Errorf("after the grace period: key accepted at %d nodes, want 4, none of them isolated", got)
 	}
 	f.members[2].Kill()
@@ -344,14 +345,14 @@
 		t.Errorf("restarted while isolated: accepts key %v at revision %d, want false at %d", acceptsKey(f.members[2]), f.members[2].Node().Configuration().Revision(), f.submitted)
 	}
 	f.HealDomain("domain-1")
-	if !f.RunUntil(15*time.Second, func() bool { return f.countAccepting() == 6 }) {
-		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAccepting())
+	if !f.RunUntil(15*time.Second, func() bool { return f.countAcceptingKey() == 6 }) {
+		t.Errorf("after the partition: key accepted at %d nodes, want 6", f.countAcceptingKey())
 	}
-	slept := f.members[0]
-	slept.Suspend()
+	suspended := f.members[0]
+	suspended.Suspend()
 	f.Run(time.Hour)
-	woke := acceptsKeyOnResume(slept)
-	if woke {
+	accepted := acceptsKeyOnResume(suspended)
+	if accepted {
 		t.Error("a node that was suspended for 1 h accepted a key before it received a message")
 	}
 }
@@ -392,9 +393,9 @@
 	case "change":
 		f.changeIdleRate()
 	case "withdraw":
-		f.withdraw()
+		f.withdrawKey()
 	case "reissue":
-		f.reissue()
+		f.reissueKey()
 	case "kill":
 		m.Kill()
 	case "restart":
@@ -406,26 +407,26 @@
 	case "resume":
 		m.Resume()
 	case "cut":
-		f.CutDomain(domain, true)
+		f.PartitionDomain(domain, true)
 	case "heal":
 		f.HealDomain(domain)
 	case "cut from table":
-		f.Table.CutInstance(m.Instance.ID, true)
+		f.Table.SetInstancePartitioned(m.Instance.ID, true)
 	case "lossy links":
 		f.DropMessage = func(_, _ coltsfootward.Instance) bool { return f.Source().IntN(2) == 0 }
 	case "outage":
 		f.Table.Outage = true
 	case "lose":
-		f.Table.LoseAnswers = true
+		f.Table.LoseResponses = true
 	case "slow":
-		f.Table.Slow = 5 * time.Second
+		f.Table.ExtraDelay = 5 * time.Second
 	case "well":
 		f.restoreTable()
 	}
 }
 
 func (f *fleet) restoreTable() {
-	f.Table.Outage, f.Table.LoseAnswers, f.Table.Slow = false, false, 0
+	f.Table.Outage, f.Table.LoseResponses, f.Table.ExtraDelay = false, false, 0
 }
 
 func (f *fleet) healAll() {
@@ -435,7 +436,7 @@
 		f.HealDomain(domain)
 	}
 	for _, m := range f.members {
-		f.Table.CutInstance(m.Instance.ID, false)
+		f.Table.SetInstancePartitioned(m.Instance.ID, false)
 		m.Resume()
 		if !m.Alive() {
 			m.Restart()
@@ -490,7 +491,8 @@
 	}
 }
 
-// summary contains the parts of a configuration that the test compares.
+// summary contains the values of a configuration that the test compares: the rates of
+// the idle organisations, and whether the key is withdrawn.
 type summary struct {
 	rates     [3]float64
 	withdrawn bool
@@ -512,8 +514,8 @@
 	return o
 }
 
-// A page of an old snapshot arrives late, after newer changes. If the node
-// installed it, it would undo those changes.
+// A page of an old snapshot arrives late, after newer changes. If the node put the
+// snapshot in force, it would undo those changes.
 func TestLatePageOfOldSnapshotIsIgnored(t *testing.T) {
 	s := newTestNode(t)
 	s.configure(coltsfootward.Rate{PerSecond: 1, Burst: 1})
--- a/core/node/event.go
+++ b/core/node/event.go
@@ -62,9 +62,9 @@
 // address.
 type BackendLost struct{}
 
-// CallerLeft reports that the caller has gone away, so that nobody waits for
-// the response any more.
-type CallerLeft struct{ Call CallID }
+// CallCancelled reports that the caller or its entry node no longer waits for
+// the response: the caller disconnected, or the entry node cancelled its call.
+type CallCancelled struct{ Call CallID }
 
 // AttemptKind is the outcome of an attempt as seen by the entry node.
 type AttemptKind string
@@ -95,9 +95,9 @@
 	Attempts int
 }
 
-// ResponseTruncated reports that a response was truncated after part of its body had
-// reached the caller, and that another attempt could fetch the rest. The node
-// responds with Forward or Refuse.
+// ResponseTruncated reports that a response was truncated after part of its
+// body had reached the caller, and that another attempt could fetch the rest.
+// The node responds with Forward or Refuse.
 type ResponseTruncated struct{ Call CallID }
 
 // CallDone reports that the response to an entry call has been delivered or
@@ -112,10 +112,10 @@
 	Needed int
 	// Complete is set if the complete response reached the caller.
 	Complete bool
-	// Answer is the complete response to a request with an idempotency key, if
-	// its body is not longer than MaximumKeptAnswer. It is retained for
-	// repeated requests.
-	Answer *claim.Answer
+	// Response is the complete response to a request with an idempotency key, if
+	// its body is not longer than MaximumRetainedResponseBytes. It is retained
+	// for repeated requests.
+	Response *claim.RetainedResponse
 }
 
 // PeerCallArrived reports a call that an entry node sent for the local
@@ -133,8 +133,8 @@
 
 // The outcomes of a dispatch.
 const (
-	// DispatchAnswered means that the complete response was passed on or is
-	// available.
+	// DispatchAnswered means that the complete response was forwarded or is
+	// ready to be sent.
 	DispatchAnswered DispatchKind = "answered"
 	// DispatchUnsent means that no byte of the request reached the upstream.
 	DispatchUnsent DispatchKind = "unsent"
@@ -188,11 +188,12 @@
 	Cold time.Duration
 }
 
-// DrainRequested asks the node to stop: it accepts no new work from then on.
+// DrainRequested makes the node drain: it accepts no new work and stops when
+// its work is done.
 type DrainRequested struct{}
 
-// FinishRequested reports that callers have been disconnected: a draining node
-// may stop as soon as no call is left.
+// FinishRequested reports that the callers have been disconnected: a draining
+// node may stop as soon as no call is left.
 type FinishRequested struct{}
 
 // TableResult reports the outcome of a table operation.
@@ -209,7 +210,7 @@
 func (DomainsRead) isEvent()       {}
 func (BackendLost) isEvent()       {}
 func (RequestArrived) isEvent()    {}
-func (CallerLeft) isEvent()        {}
+func (CallCancelled) isEvent()     {}
 func (AttemptEnded) isEvent()      {}
 func (ResponseTruncated) isEvent() {}
 func (CallDone) isEvent()          {}
--- a/core/node/rate_test.go
+++ b/core/node/rate_test.go
@@ -56,31 +56,31 @@
 	return m.Send(nodetest.Request{Key: testKey, Service: "quotes"})
 }
 
-// starts returns the times at which requests began at backend servers, sorted.
-func (f *ratedFleet) starts() []time.Duration {
-	var starts []time.Duration
+// arrivals returns the times at which requests arrived at backend servers, sorted.
+func (f *ratedFleet) arrivals() []time.Duration {
+	var arrivals []time.Duration
 	for _, m := range f.nodes {
 		for _, run := range m.Backend.Runs {
-			starts = append(starts, run.Began)
+			arrivals = append(arrivals, run.Arrived)
 		}
 	}
-	slices.Sort(starts)
-	return starts
+	slices.Sort(arrivals)
+	return arrivals
 }
 
 // checkBound checks that no window of any length w contains more than burst +
-// rate·w starts. This holds exactly if one token bucket with the full burst and
-// rate has a token for every start.
-func checkBound(starts []time.Duration, rate coltsfootward.Rate) error {
+// rate·w arrivals. This holds exactly if one token bucket with the full burst and
+// rate has a token for every arrival.
+func checkBound(arrivals []time.Duration, rate coltsfootward.Rate) error {
 	const rounding = 1e-6
 	level := float64(rate.Burst)
 	last := time.Duration(0)
-	for i, at := range starts {
+	for i, at := range arrivals {
 		level = min(float64(rate.Burst), level+rate.PerSecond*(at-last).Seconds())
 		last = at
 		level--
 		if level < -rounding {
-			return fmt.Errorf("start %d of %d at %s is %.3f tokens above %+v", i, len(starts), at, -level, rate)
+			return fmt.Errorf("arrival %d of %d at %s is %.3f tokens above %+v", i, len(arrivals), at, -level, rate)
 		}
 	}
 	return nil
@@ -88,8 +88,8 @@
 
 // fault is a failure or an operator's action that is injected during a run.
 type fault struct {
-	name string
-	run  func(f *ratedFleet, m *nodetest.Member, d time.Duration)
+	name   string
+	inject func(f *ratedFleet, m *nodetest.Member, d time.Duration)
 }
 
 var faults = []fault{
@@ -110,11 +110,11 @@
 		f.rig.After(d, func() { f.rig.Table.Outage = false })
 	}},
 	{"lost answers", func(f *ratedFleet, _ *nodetest.Member, d time.Duration) {
-		f.rig.Table.LoseAnswers = true
-		f.rig.After(d, func() { f.rig.Table.LoseAnswers = false })
+		f.rig.Table.LoseResponses = true
+		f.rig.After(d, func() { f.rig.Table.LoseResponses = false })
 	}},
 	{"cut domain", func(f *ratedFleet, m *nodetest.Member, d time.Duration) {
-		f.rig.CutDomain(m.Instance.Domain, true)
+		f.rig.PartitionDomain(m.Instance.Domain, true)
 		f.rig.After(d, func() { f.rig.HealDomain(m.Instance.Domain) })
 	}},
 	{"slow links", func(f *ratedFleet, _ *nodetest.Member, d time.Duration) {
@@ -159,11 +159,11 @@
 			m := rapid.SampledFrom(f.nodes).Draw(t, "node")
 			length := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "length")) * time.Millisecond
 			if m.Alive() {
-				chosen.run(f, m, length)
+				chosen.inject(f, m, length)
 			}
 			f.flood(time.Duration(rapid.IntRange(0, 15_000).Draw(t, "wait"))*time.Millisecond, 3*rate.PerSecond)
 		}
-		if err := checkBound(f.starts(), rate); err != nil {
+		if err := checkBound(f.arrivals(), rate); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -179,9 +179,10 @@
 }
 
 // Two failure domains are 45 ms apart, and tokens have a lifetime of 75 ms. A
-// token from the remote holder arrives after its lifetime, which starts before
-// the draw. If the lifetime started at the arrival, the token could be spent
-// 165 ms after it left the bucket, which accounts for 75 ms only.
+// token from the remote holder arrives when its lifetime has already ended, because
+// the lifetime starts before the draw. If the lifetime started when the token arrives,
+// the token could be spent 165 ms after it left the bucket, whose parameters allow for
+// 75 ms only.
 func TestTokenLifetimeStartsBeforeDraw(t *testing.T) {
 	answered := 0
 	for sender := range 2 {
@@ -202,9 +203,10 @@
 	}
 }
 
-// The nodes that hold the slots of a failure domain are killed, and a restarted
-// one takes the slots over after the lease term. Until then, the parts of the
-// other failure domain must still be granted.
+// Guards against a part of the rate that is lost when the holder of its slot dies. All
+// nodes of a failure domain are killed, and one of them is restarted and takes the
+// slots over after the lease term. Until then, the parts of the other failure domain
+// must still be granted.
 func TestPartIsGrantedAgainAfterTakeover(t *testing.T) {
 	rate := coltsfootward.Rate{PerSecond: 40, Burst: 40}
 	f := newRatedFleet(3, 2, 2, rate)
@@ -212,23 +214,23 @@
 	f.nodes[0].Kill()
 	f.nodes[1].Kill()
 	f.flood(10*time.Second, 2*rate.PerSecond)
-	if got, most := len(f.starts()), 20+20*10+20; got > most || got < 20*8 {
-		t.Errorf("with one of two domains dead for 10 s: got %d starts, want 160 to %d", got, most)
+	if got, most := len(f.arrivals()), 20+20*10+20; got > most || got < 20*8 {
+		t.Errorf("with one of two domains dead for 10 s: got %d arrivals, want 160 to %d", got, most)
 	}
 	f.restart(f.nodes[1])
 	f.rig.Run(30 * time.Second)
-	before := len(f.starts())
+	before := len(f.arrivals())
 	f.flood(10*time.Second, 2*rate.PerSecond)
-	if got := len(f.starts()) - before; got < 40*9 {
-		t.Errorf("after the takeover: got %d starts in 10 s, want at least 360", got)
+	if got := len(f.arrivals()) - before; got < 40*9 {
+		t.Errorf("after the takeover: got %d arrivals in 10 s, want at least 360", got)
 	}
-	if err := checkBound(f.starts(), rate); err != nil {
+	if err := checkBound(f.arrivals(), rate); err != nil {
 		t.Error(err)
 	}
 }
 
-// Demand below the rate must not be refused because the tokens are in other
-// failure domains or expired unspent at nodes that had prefetched them.
+// Guards against refusals of demand below the rate. They occur if the remaining tokens
+// belong to other failure domains, or expire unspent at nodes that prefetched them.
 func TestDemandBelowRateIsNotRefused(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -246,12 +248,12 @@
 	} {
 		f := newRatedFleet(5, 4, 2, c.rate)
 		f.rig.Run(15 * time.Second)
-		offered, refused, naive := f.sendPoisson(60*time.Second, c.share*c.rate.PerSecond, c.oneDom, c.rate)
-		t.Logf("%s: %d offered, %d refused, %d refused by a single bucket", c.name, offered, refused, naive)
-		if share := float64(refused-naive) / float64(offered); share > c.most {
+		offered, refused, refusedBySingle := f.sendPoisson(60*time.Second, c.share*c.rate.PerSecond, c.oneDom, c.rate)
+		t.Logf("%s: %d offered, %d refused, %d refused by a single bucket", c.name, offered, refused, refusedBySingle)
+		if share := float64(refused-refusedBySingle) / float64(offered); share > c.most {
 			t.Errorf("%s: got a fraction of %.3f of the requests refused beyond those of a single bucket, want at most %.3f", c.name, share, c.most)
 		}
-		if err := checkBound(f.starts(), c.rate); err != nil {
+		if err := checkBound(f.arrivals(), c.rate); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -260,7 +262,7 @@
 // sendPoisson sends requests at random times. It returns the number of
 // requests, the number of refused ones, and the number that a single token
 // bucket with the full rate would refuse.
-func (f *ratedFleet) sendPoisson(d time.Duration, perSecond float64, oneDomain bool, rate coltsfootward.Rate) (offered, refused, naive int) {
+func (f *ratedFleet) sendPoisson(d time.Duration, perSecond float64, oneDomain bool, rate coltsfootward.Rate) (offered, refused, refusedBySingle int) {
 	var outcomes []*nodetest.Outcome
 	level, last := float64(rate.Burst), f.rig.Now()
 	for end := f.rig.Now() + d; f.rig.Now() < end; {
@@ -268,7 +270,7 @@
 		level = min(float64(rate.Burst), level+rate.PerSecond*(f.rig.Now()-last).Seconds())
 		last = f.rig.Now()
 		if level < 1 {
-			naive++
+			refusedBySingle++
 		} else {
 			level--
 		}
@@ -284,12 +286,12 @@
 			refused++
 		}
 	}
-	return len(outcomes), refused, naive
+	return len(outcomes), refused, refusedBySingle
 }
 
 // Guards against a panic when the only node of a failure domain drains while
 // the platform is unavailable. The node then counts no running member, not even
-// itself, and panicked when it chose a random member to read the table.
+// itself, and the random choice of a member that reads the table panicked.
 func TestLastNodeDrainsDuringOutage(t *testing.T) {
 	f := newRatedFleet(1, 1, 1, coltsfootward.Rate{PerSecond: 1, Burst: 1})
 	f.rig.Run(2 * time.Second)
@@ -307,11 +309,11 @@
 	f := newRatedFleet(1, 2, 1, coltsfootward.Rate{PerSecond: 0.001, Burst: 8})
 	f.rig.Run(2 * time.Second)
 	f.flood(time.Second, 100)
-	machine := f.nodes[0].Node()
+	entry := f.nodes[0].Node()
 	now := coltsfootward.Instant{Monotonic: time.Hour + f.rig.Now(), Expiry: time.Hour + f.rig.Now()}
 	call := node.CallID(1 << 40)
 	for b.Loop() {
 		call++
-		machine.Handle(now, node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1})
+		entry.Handle(now, node.RequestArrived{Call: call, Key: testKey, Service: "quotes", Method: "GET", Path: "/", Attempt: 1})
 	}
 }
--- a/core/node/upstream_queue.go
+++ b/core/node/upstream_queue.go
@@ -30,11 +30,11 @@
 // queuePriority combines a request's two priorities into its priority in the
 // queue. Without a secondary priority only every fourth value is used.
 func queuePriority(head message.Call) int {
-	second := 0
+	secondary := 0
 	if head.SecondaryPriority != "" {
-		second = head.SecondaryPriority.Rank()
+		secondary = head.SecondaryPriority.Rank()
 	}
-	return head.Priority.Rank()*len(coltsfootward.Priorities()) + second
+	return head.Priority.Rank()*len(coltsfootward.Priorities()) + secondary
 }
 
 // classOf returns the class of work that a request belongs to: its route if it
@@ -61,7 +61,7 @@
 	return method + " " + path[:end]
 }
 
-// check refuses calls that cannot be served on this node at all.
+// check returns a refusal for a call that cannot be served on this node at all.
 func (p *upstreamComponent) check(call *upstreamCall) *coltsfootward.Refusal {
 	local := p.node.membership.local
 	if local.Service == "" || local.Service != call.head.Service {
@@ -79,6 +79,8 @@
 	return p.checkDeadlines(call)
 }
 
+// checkDeadlines returns a refusal for a call whose deadline has passed or
+// whose admission has expired.
 func (p *upstreamComponent) checkDeadlines(call *upstreamCall) *coltsfootward.Refusal {
 	now := p.node.now.Expiry
 	if now >= call.deadline {
--- a/core/nodetest/routed_test.go
+++ b/core/nodetest/routed_test.go
@@ -13,8 +13,8 @@
 
 const routedHost = "quotes.example"
 
-// routedDocument returns a configuration with one route for each service, and
-// the organisation traders at that rate.
+// routedDocument returns a configuration with one route for each service and with
+// the organisation traders at the given rate.
 func routedDocument(revision coltsfootward.Revision, rate coltsfootward.Rate, services ...coltsfootward.ServiceName) coltsfootward.Configuration {
 	var routes []coltsfootward.Route
 	for _, service := range services {
@@ -29,9 +29,10 @@
 	return coltsfootward.NewConfiguration(revision, organisations, keys, nil).WithRoutes(routes)
 }
 
-// newRouted returns a rig with nodes nodes in each of the domains, each with a
-// backend server of quotes with four slots, and the document in force.
-func newRouted(seed uint64, nodes int, document coltsfootward.Configuration, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
+// newRoutedRig returns a rig with the given number of nodes in each domain. Each node
+// has a backend server of the service quotes with four slots, and document is in
+// force.
+func newRoutedRig(seed uint64, nodes int, document coltsfootward.Configuration, domains ...coltsfootward.FailureDomain) (*nodetest.Rig, []*nodetest.Member) {
 	r := nodetest.New(seed)
 	var members []*nodetest.Member
 	for _, domain := range domains {
@@ -43,7 +44,7 @@
 		}
 	}
 	for _, m := range members {
-		m.Read(document)
+		m.ReadConfiguration(document)
 		m.Announce("quotes", 4)
 	}
 	r.Run(8 * time.Second)
@@ -55,7 +56,7 @@
 }
 
 func TestRoutedRequestIsAnswered(t *testing.T) {
-	r, members := newRouted(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
+	r, members := newRoutedRig(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
 	o := get(members[0])
 	r.Run(time.Second)
 	if !o.Answered {
@@ -63,11 +64,11 @@
 	}
 }
 
-// A node starts while the platform is away and learns the configuration from
-// its peers. It took only the parts of it that an own deployment has, without
-// the routes, and answered every request with 404.
+// Guards against a node that answers every request with 404 after a start during an
+// outage of the platform. The node receives the configuration from its peers and must
+// apply the routes as well as the other components.
 func TestNodeLearnsRoutesFromPeers(t *testing.T) {
-	r, members := newRouted(1, 2, routedDocument(7, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
+	r, members := newRoutedRig(1, 2, routedDocument(7, coltsfootward.Rate{PerSecond: 100, Burst: 100}, "quotes"), "north", "south")
 	late := members[1]
 	late.Kill()
 	r.Run(time.Second)
@@ -83,13 +84,13 @@
 	}
 }
 
-// A node that leaves still serves its callers for seconds. It gave up its slots of
-// the rate at once, while the others, not told yet, still named it as the holder:
-// every part looked silent for a second, and requests far inside the rate were
-// refused as over it.
-func TestLeavingNodeKeepsItsSlots(t *testing.T) {
+// Guards against requests far below the rate being refused as over the rate while a
+// node drains. A draining node serves its callers for some seconds more. If it
+// released its rate slots at once, its peers would still consider it the holder,
+// and no part of the rate would grant them tokens for a second.
+func TestDrainingNodeKeepsItsSlots(t *testing.T) {
 	for seed := range uint64(5) {
-		r, members := newRouted(seed, 3, routedDocument(1, coltsfootward.Rate{PerSecond: 300, Burst: 300}, "quotes"), "north")
+		r, members := newRoutedRig(seed, 3, routedDocument(1, coltsfootward.Rate{PerSecond: 300, Burst: 300}, "quotes"), "north")
 		for _, leaving := range members[:2] {
 			leaving.Drain()
 			for range 60 {
@@ -108,12 +109,13 @@
 	}
 }
 
-// A backend server says that it leaves while requests wait for it. Its last word
-// is acknowledged and it ends two seconds later; a request dispatched when its turn
-// comes would reach it then. What waits goes to another server at once.
-func TestDrainEmptiesTheQueue(t *testing.T) {
+// Guards against queued requests being dispatched to a backend server that is shutting
+// down. The server announces that it drains while requests wait for it, and stops two
+// seconds after the acknowledgement. The queued requests must move to another server at
+// once.
+func TestBackendDrainEmptiesTheQueue(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 10000, Burst: 10000}, "quotes")
-	r, members := newRouted(1, 2, document, "north")
+	r, members := newRoutedRig(1, 2, document, "north")
 	leaving, other := members[0], members[1]
 	slow := func(message.Call) time.Duration { return 700 * time.Millisecond }
 	leaving.Backend.ServiceTime, other.Backend.ServiceTime = slow, slow
@@ -127,24 +129,25 @@
 	before := len(leaving.Backend.Runs)
 	r.Run(4 * time.Second)
 	if got := len(leaving.Backend.Runs); got != before {
-		t.Errorf("%d requests reached the backend server after it had said that it leaves", got-before)
+		t.Errorf("%d requests reached the backend server after it had announced that it drains", got-before)
 	}
 	for i, o := range sent {
 		if !o.Done {
-			t.Errorf("request %d has no final answer", i)
+			t.Errorf("request %d has not ended", i)
 		}
 	}
 }
 
 // The only server of a service rejects one request in ten, whatever the load. A
-// rejection says that nothing ran, so the request is sent to it again.
-func TestOnlyServerIsAskedAgain(t *testing.T) {
-	r, members := newRouted(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
+// rejection guarantees that nothing ran, so the node must retry the request at the same
+// server.
+func TestRejectedRequestIsRetriedAtOnlyServer(t *testing.T) {
+	r, members := newRoutedRig(1, 1, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
 	m := members[0]
-	rejected := 0
+	attempts := 0
 	m.Backend.Reject = func(message.Call) bool {
-		rejected++
-		return rejected%10 == 0
+		attempts++
+		return attempts%10 == 0
 	}
 	answered := 0
 	for range 80 {
@@ -154,20 +157,21 @@
 			answered++
 		}
 	}
-	if rejected < 87 || answered < 79 {
-		t.Errorf("%d of 80 answered with %d tries, want nearly all", answered, rejected)
+	if attempts < 87 || answered < 79 {
+		t.Errorf("%d of 80 answered with %d attempts, want at least 79 answered and 87 attempts", answered, attempts)
 	}
 }
 
-// A backend server breaks off and its request is sent to another one, where it
-// makes its further calls again. These are repeats for the service called, which
-// nobody can refuse there: uncounted, each layer of a chain adds a share of its own
-// and the deepest service gets a multiple of it.
-func TestCallsOfARepeatAreRepeats(t *testing.T) {
+// Guards against child calls of a retry that are not counted as retries. A backend
+// server fails and its request is retried at another one, which makes the child calls
+// again. For the called service these calls are retries as well, and it cannot refuse
+// them. If they were not counted, each layer of a chain would add its own retry
+// share, and the last service would receive a multiple of it.
+func TestChildCallsOfRetryAreRetries(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes", "feeds")
 	routes := document.Routes()
 	routes[1].Public = true
-	r, members := newRouted(1, 3, document.WithRoutes(routes), "north")
+	r, members := newRoutedRig(1, 3, document.WithRoutes(routes), "north")
 	members[2].Announce("feeds", 4)
 	r.Run(time.Second)
 	failed := false
@@ -181,7 +185,7 @@
 			return first
 		}
 	}
-	for range 40 { // earn a repeat
+	for range 40 { // accumulate the retry budget for one retry
 		failed = true
 		get(members[0])
 		r.Run(20 * time.Millisecond)
@@ -191,25 +195,26 @@
 	o := get(members[0])
 	r.Run(time.Second)
 	if !o.Answered || o.Attempts != 2 {
-		t.Fatalf("got %+v, want an answer of the second attempt", o)
+		t.Fatalf("got %+v, want a response to the second attempt", o)
 	}
 	runs := members[2].Backend.Runs
 	first, second := runs[len(runs)-2], runs[len(runs)-1]
 	if first.Head.Retry || !second.Head.Retry {
-		t.Errorf("calls marked as repeats: %v and %v, want the second one alone", first.Head.Retry, second.Head.Retry)
+		t.Errorf("calls marked as retries: %v and %v, want only the second one", first.Head.Retry, second.Head.Retry)
 	}
 }
 
-// Every configuration names its routes anew. What a node had learnt of old names
-// stayed for good, a little more with each of thousands of changes a day.
-func TestNodeForgetsRoutesThatAreGone(t *testing.T) {
-	r, members := newRouted(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
+// Guards against a memory leak: each configuration here renames its route, and a node
+// that never dropped its statistics of removed routes would grow with each of
+// thousands of changes a day.
+func TestNodeDropsStateOfRemovedRoutes(t *testing.T) {
+	r, members := newRoutedRig(1, 2, routedDocument(1, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes"), "north")
 	for revision := range coltsfootward.Revision(30) {
 		document := routedDocument(revision+2, coltsfootward.Rate{PerSecond: 1000, Burst: 1000}, "quotes")
 		routes := document.Routes()
 		routes[0].Name = coltsfootward.RouteName(fmt.Sprintf("quotes-%d", revision))
 		for _, m := range members {
-			m.Read(document.WithRoutes(routes))
+			m.ReadConfiguration(document.WithRoutes(routes))
 		}
 		if o := get(members[0]); o == nil {
 			t.Fatal("no request")
@@ -217,24 +222,25 @@
 		r.Run(100 * time.Millisecond)
 	}
 	if got := members[0].Node().KnownClasses(); got != 1 {
-		t.Errorf("got %d classes of requests known, want the present one", got)
+		t.Errorf("got %d classes of requests, want only the current one", got)
 	}
 }
 
-// All nodes lose power and start again together. Callers come back at once, while
-// nobody knows yet who holds the parts of the rate. Each part then counted as one
-// whose holder does not answer and was left alone for a second, so that callers far
-// inside the rate were refused as over it long after the holders were there.
-func TestRateIsThereSoonAfterLossOfPower(t *testing.T) {
+// Guards against requests far below the rate being refused as over the rate after all
+// nodes have lost power and restarted together. Callers return at once, when no node
+// knows yet which nodes hold the parts of the rate. If a part without a known holder
+// were treated like one whose holder does not respond, nodes would back off from it
+// for a second and refuse requests long after the holders are known.
+func TestRateIsAvailableSoonAfterPowerLoss(t *testing.T) {
 	document := routedDocument(1, coltsfootward.Rate{PerSecond: 200, Burst: 200}, "quotes")
-	r, members := newRouted(1, 2, document, "north", "south")
+	r, members := newRoutedRig(1, 2, document, "north", "south")
 	for _, m := range members {
 		m.Kill()
 	}
 	r.Run(time.Second)
 	for _, m := range members {
 		m.Restart()
-		m.Read(document)
+		m.ReadConfiguration(document)
 		m.Announce("quotes", 4)
 	}
 	const step, formation = 20 * time.Millisecond, 600 * time.Millisecond
@@ -257,6 +263,6 @@
 		}
 	}
 	if overRate > len(late)/20 {
-		t.Errorf("%d of %d requests inside the rate were refused as over it", overRate, len(late))
+		t.Errorf("%d of %d requests within the rate were refused as over the rate", overRate, len(late))
 	}
 }
--- a/core/nodetest/table.go
+++ b/core/nodetest/table.go
@@ -13,45 +13,49 @@
 	"coltsfootward/core/node"
 )
 
-// tableDelay is how long the table takes for one operation.
-const tableDelay = 2 * time.Millisecond
+// tableLatency is the duration of one operation on the table.
+const tableLatency = 2 * time.Millisecond
 
 // Table is a fake of the platform's table. Its fields may be changed while the
-// rig runs. It also implements coltsfootward.Table, answering at once.
+// rig runs. It also implements coltsfootward.Table, whose methods return without
+// delay.
 type Table struct {
-	// Outage makes every operation go unanswered and have no effect.
+	// Outage makes every operation fail with ErrUnavailable and have no effect.
 	Outage bool
-	// LoseAnswers lets operations take effect and then go unanswered.
-	LoseAnswers bool
-	// Slow is added to the time of every operation.
-	Slow time.Duration
-	// Reads and Writes count operations that took effect.
+	// LoseResponses makes operations take effect and then fail with ErrUnavailable.
+	LoseResponses bool
+	// ExtraDelay is added to the duration of every operation of a node.
+	ExtraDelay time.Duration
+	// Reads and Writes count the operations that took effect.
 	Reads, Writes int
-	// SlotReads and SlotWrites are those among them on the slots' records.
+	// SlotReads and SlotWrites count the reads and writes of the slots' records;
+	// scans are not counted.
 	SlotReads, SlotWrites int
 
-	rig     *Rig
-	rows    map[string]coltsfootward.Row
-	version uint64
-	cut     map[coltsfootward.FailureDomain]bool
-	alone   map[coltsfootward.InstanceID]bool
+	rig                  *Rig
+	rows                 map[string]coltsfootward.Row
+	version              uint64
+	partitionedDomains   map[coltsfootward.FailureDomain]bool
+	partitionedInstances map[coltsfootward.InstanceID]bool
 }
 
 func newTable(r *Rig) *Table {
-	return &Table{rig: r, rows: make(map[string]coltsfootward.Row), cut: make(map[coltsfootward.FailureDomain]bool), alone: make(map[coltsfootward.InstanceID]bool)}
+	return &Table{rig: r, rows: make(map[string]coltsfootward.Row), partitionedDomains: make(map[coltsfootward.FailureDomain]bool), partitionedInstances: make(map[coltsfootward.InstanceID]bool)}
 }
 
-func (t *Table) setCut(domain coltsfootward.FailureDomain, cut bool) {
-	t.cut[domain] = cut
+func (t *Table) setDomainPartitioned(domain coltsfootward.FailureDomain, partitioned bool) {
+	t.partitionedDomains[domain] = partitioned
 }
 
-// CutInstance cuts one instance off from the table, or undoes that.
-func (t *Table) CutInstance(id coltsfootward.InstanceID, cut bool) {
-	t.alone[id] = cut
+// SetInstancePartitioned partitions one instance from the table, or restores its
+// link to the table if partitioned is false.
+func (t *Table) SetInstancePartitioned(id coltsfootward.InstanceID, partitioned bool) {
+	t.partitionedInstances[id] = partitioned
 }
 
-// perform carries out a table action of a node. It takes effect on arrival and
-// is answered a little later; unanswered operations end as unavailable.
+// perform carries out a table action of a node. The operation takes effect after
+// ExtraDelay and half of tableLatency. Its result arrives after the other half of
+// tableLatency; an operation without a response fails with ErrUnavailable.
 func (t *Table) perform(m *Member, action node.Action) {
 	var id node.OperationID
 	var run func() ([]coltsfootward.Row, error)
@@ -73,26 +77,27 @@
 		return
 	}
 	boot := m.boots
-	t.rig.After(tableDelay/2+t.Slow, func() {
-		rows, err := t.operate(m.Instance, run)
-		t.rig.After(tableDelay/2, func() {
+	t.rig.After(tableLatency/2+t.ExtraDelay, func() {
+		rows, err := t.execute(m.Instance, run)
+		t.rig.After(tableLatency/2, func() {
 			if m.boots == boot {
-				m.event(func() node.Event { return node.TableResult{Operation: id, Rows: rows, Err: err} })
+				m.deliver(func() node.Event { return node.TableResult{Operation: id, Rows: rows, Err: err} })
 			}
 		})
 	})
 }
 
-func (t *Table) operate(from coltsfootward.Instance, run func() ([]coltsfootward.Row, error)) ([]coltsfootward.Row, error) {
-	if t.cut[from.Domain] || t.alone[from.ID] {
+func (t *Table) execute(from coltsfootward.Instance, run func() ([]coltsfootward.Row, error)) ([]coltsfootward.Row, error) {
+	if t.partitionedDomains[from.Domain] || t.partitionedInstances[from.ID] {
 		return nil, coltsfootward.ErrUnavailable
 	}
 	return run()
 }
 
-// answer decides whether the caller hears of an operation's outcome.
-func (t *Table) answer(err error) error {
-	if t.LoseAnswers {
+// result returns the outcome of an operation, or ErrUnavailable if responses are
+// being lost.
+func (t *Table) result(err error) error {
+	if t.LoseResponses {
 		return coltsfootward.ErrUnavailable
 	}
 	return err
@@ -109,7 +114,7 @@
 	}
 	row := t.rows[key]
 	row.Key = key
-	return row, t.answer(nil)
+	return row, t.result(nil)
 }
 
 // Scan implements coltsfootward.Table.
@@ -124,7 +129,7 @@
 			found = append(found, t.rows[key])
 		}
 	}
-	return found, t.answer(nil)
+	return found, t.result(nil)
 }
 
 // Transact implements coltsfootward.Table.
@@ -134,7 +139,7 @@
 	}
 	for _, c := range transaction.Conditions {
 		if t.rows[c.Key].Version != c.Version {
-			return t.answer(coltsfootward.ErrConflict)
+			return t.result(coltsfootward.ErrConflict)
 		}
 	}
 	t.Writes++
@@ -144,7 +149,7 @@
 	for _, w := range transaction.Writes {
 		t.write(w)
 	}
-	return t.answer(nil)
+	return t.result(nil)
 }
 
 func (t *Table) write(w coltsfootward.Write) {
@@ -156,9 +161,9 @@
 	t.rows[w.Key] = coltsfootward.Row{Key: w.Key, Value: slices.Clone(w.Value), Version: t.version}
 }
 
-// submit stores a change as an operator's node would.
+// submit stores a change in the same form as a node that serves an operator.
 func (t *Table) submit(change coltsfootward.Change) {
-	change.Revision = coltsfootward.Revision(len(t.changes()) + 1)
+	change.Revision = coltsfootward.Revision(len(t.changeKeys()) + 1)
 	value, err := json.Marshal(change)
 	if err != nil {
 		panic(err)
@@ -167,7 +172,7 @@
 	t.write(coltsfootward.Write{Key: node.RevisionKey, Value: []byte(change.Revision.String())})
 }
 
-func (t *Table) changes() []string {
+func (t *Table) changeKeys() []string {
 	var keys []string
 	for key := range t.rows {
 		if strings.HasPrefix(key, node.ChangePrefix) {
--- a/core/scenario/real.go
+++ b/core/scenario/real.go
@@ -86,12 +86,12 @@
 		}
 		done(got)
 	})
-	return o.Leave
+	return o.Cancel
 }
 
 func (m *mesh) startDisturbance() {
 	if m.scenario.Partition {
-		m.rig.CutDomain(m.deployment.Domains[0], true)
+		m.rig.PartitionDomain(m.deployment.Domains[0], true)
 	}
 	m.forEachBottleneckServer(func(member *nodetest.Member, index int) {
 		service := m.deployment.Service(m.deployment.Bottleneck)
@@ -120,11 +120,13 @@
 	})
 }
 
-func (m *mesh) servicesStarted() int {
+// executionsStarted counts the requests that reached a backend server, including
+// those that are still queued there.
+func (m *mesh) executionsStarted() int {
 	started := 0
 	for _, member := range m.members {
 		for _, run := range member.Backend.Runs {
-			if run.Began >= disturbanceStart {
+			if run.Arrived >= disturbanceStart {
 				started++
 			}
 		}
--- a/io/caller/resume_test.go
+++ b/io/caller/resume_test.go
@@ -17,7 +17,7 @@
 
 const callerKey = "key-of-the-field-crews"
 
-// startPair runs two nodes; the service archive has a backend server beside each.
+// startPair starts two nodes, each with a backend server of the service archive.
 func startPair(t *testing.T, handler http.Handler) (*iotest.Node, *iotest.Node) {
 	t.Helper()
 	table := iotest.NewTable(
@@ -43,7 +43,7 @@
 
 func get(t *testing.T, n *iotest.Node, path string) (*http.Response, []byte, error) {
 	t.Helper()
-	request, err := http.NewRequest(http.MethodGet, "http://"+n.Callers+path, nil)
+	request, err := http.NewRequest(http.MethodGet, "http://"+n.CallerAddress+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,46 +57,46 @@
 	return response, body, err
 }
 
-// A field crew downloads a trailer's run log and the backend server dies half
-// way. The crew must get the whole log, from another backend server, or see
-// that the download broke; never half of one version and half of another.
-func TestBrokenDownload(t *testing.T) {
+// A backend server fails in the middle of a download. The caller must receive the
+// complete body, with the remainder from another backend server, or be able to detect
+// that the download was aborted. It must never receive a mix of two versions.
+func TestInterruptedDownloadIsResumedOrAborted(t *testing.T) {
 	log := bytes.Repeat([]byte("friction 0.43\n"), 100_000)
 	other := bytes.Repeat([]byte("friction 0.51\n"), 100_000)
 	old := time.Now().Add(-time.Hour)
 	for _, test := range []struct {
 		name, tag, laterTag string
 		modified            time.Time
-		ranges, whole       bool
-		breaks              int32
-		after               int
+		ranges, complete    bool
+		aborts              int32
+		abortAfter          int
 		later               []byte
 	}{
-		{name: "strong tag", tag: `"v1"`, laterTag: `"v1"`, ranges: true, breaks: 1, later: log, whole: true},
-		{name: "breaks twice", tag: `"v1"`, laterTag: `"v1"`, ranges: true, breaks: 2, later: log, whole: true},
-		{name: "old date", modified: old, ranges: true, breaks: 1, later: log, whole: true},
-		{name: "young date", modified: time.Now(), ranges: true, breaks: 1, later: log},
-		{name: "weak tag", tag: `W/"v1"`, laterTag: `W/"v1"`, ranges: true, breaks: 1, later: log},
-		{name: "changed meanwhile", tag: `"v1"`, laterTag: `"v2"`, ranges: true, breaks: 1, later: other},
-		{name: "no ranges", tag: `"v1"`, laterTag: `"v1"`, breaks: 1, later: log},
-		{name: "breaks for ever", tag: `"v1"`, laterTag: `"v1"`, ranges: true, breaks: 1000, after: 50_000, later: log},
+		{name: "strong tag", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1, later: log, complete: true},
+		{name: "aborted twice", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 2, later: log, complete: true},
+		{name: "old date", modified: old, ranges: true, aborts: 1, later: log, complete: true},
+		{name: "recent date", modified: time.Now(), ranges: true, aborts: 1, later: log},
+		{name: "weak tag", tag: `W/"v1"`, laterTag: `W/"v1"`, ranges: true, aborts: 1, later: log},
+		{name: "changed meanwhile", tag: `"v1"`, laterTag: `"v2"`, ranges: true, aborts: 1, later: other},
+		{name: "no ranges", tag: `"v1"`, laterTag: `"v1"`, aborts: 1, later: log},
+		{name: "aborted on every attempt", tag: `"v1"`, laterTag: `"v1"`, ranges: true, aborts: 1000, abortAfter: 50_000, later: log},
 	} {
-		if test.after == 0 {
-			test.after = 300_000
+		if test.abortAfter == 0 {
+			test.abortAfter = 300_000
 		}
 		t.Run(test.name, func(t *testing.T) {
 			var served atomic.Int32
 			n, _ := startPair(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				number := served.Add(1)
+				attempt := served.Add(1)
 				content, tag := log, test.tag
-				if number > 1 {
+				if attempt > 1 {
 					content, tag = test.later, test.laterTag
 				}
 				if tag != "" {
 					w.Header().Set("ETag", tag)
 				}
-				if number <= test.breaks {
-					w = &breaking{ResponseWriter: w, left: test.after}
+				if attempt <= test.aborts {
+					w = &abortingWriter{ResponseWriter: w, remaining: test.abortAfter}
 				}
 				if !test.ranges {
 					w.Header().Set("Content-Length", strconv.Itoa(len(content)))
@@ -108,11 +108,11 @@
 			_, body, err := get(t, n, "/archive/run-17")
 			switch {
 			case err == nil && !bytes.Equal(body, log):
-				t.Errorf("got %d bytes as whole that are not the log of %d bytes", len(body), len(log))
-			case err == nil && !test.whole:
-				t.Error("got a whole log, want the download aborted")
-			case err != nil && test.whole:
-				t.Errorf("got %v after %d bytes and %d attempts, want the whole log", err, len(body), served.Load())
+				t.Errorf("got a complete body of %d bytes that differs from the log of %d bytes", len(body), len(log))
+			case err == nil && !test.complete:
+				t.Error("got the complete log, want the download aborted")
+			case err != nil && test.complete:
+				t.Errorf("got %v after %d bytes and %d attempts, want the complete log", err, len(body), served.Load())
 			}
 			if got := served.Load(); got > node.DefaultAttempts {
 				t.Errorf("got %d attempts, want at most %d", got, node.DefaultAttempts)
@@ -121,18 +121,18 @@
 	}
 }
 
-// breaking breaks the connection off after some bytes of the body.
-type breaking struct {
+// abortingWriter aborts the connection after the given number of body bytes.
+type abortingWriter struct {
 	http.ResponseWriter
-	left int
+	remaining int
 }
 
-func (b *breaking) Write(p []byte) (int, error) {
-	if len(p) >= b.left {
-		_, _ = b.ResponseWriter.Write(p[:b.left])
+func (b *abortingWriter) Write(p []byte) (int, error) {
+	if len(p) >= b.remaining {
+		_, _ = b.ResponseWriter.Write(p[:b.remaining])
 		http.NewResponseController(b.ResponseWriter).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	b.left -= len(p)
+	b.remaining -= len(p)
 	return b.ResponseWriter.Write(p)
 }
--- a/io/iotest/node.go
+++ b/io/iotest/node.go
@@ -1,5 +1,5 @@
-// Package iotest starts whole nodes in a test's own process, with real sockets
-// on loopback and a fake of the platform's table.
+// Package iotest runs complete nodes in the test process, with real sockets on the
+// loopback interface and a fake of the platform's table.
 package iotest
 
 import (
@@ -26,19 +26,19 @@
 	"github.com/gorilla/mux"
 )
 
-// Wait is how long tests wait for a condition before they give up.
+// Wait is the time after which a test that waits for a condition fails.
 const Wait = 30 * time.Second
 
 // Table is a fake of the platform's table that several nodes may share.
 type Table struct {
-	mu   sync.Mutex
-	fake *nodetest.Rig
+	mu  sync.Mutex
+	rig *nodetest.Rig
 }
 
-// NewTable returns a table that holds the changes.
+// NewTable returns a table that contains the changes.
 func NewTable(changes ...coltsfootward.Change) *Table {
-	t := &Table{fake: nodetest.New(1)}
-	t.fake.Submit(changes...)
+	t := &Table{rig: nodetest.New(1)}
+	t.rig.Submit(changes...)
 	return t
 }
 
@@ -46,33 +46,33 @@
 func (t *Table) Read(ctx context.Context, key string) (coltsfootward.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fake.Table.Read(ctx, key)
+	return t.rig.Table.Read(ctx, key)
 }
 
 // Scan implements coltsfootward.Table.
 func (t *Table) Scan(ctx context.Context, prefix, after string, limit int) ([]coltsfootward.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fake.Table.Scan(ctx, prefix, after, limit)
+	return t.rig.Table.Scan(ctx, prefix, after, limit)
 }
 
 // Transact implements coltsfootward.Table.
 func (t *Table) Transact(ctx context.Context, transaction coltsfootward.Transaction) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fake.Table.Transact(ctx, transaction)
+	return t.rig.Table.Transact(ctx, transaction)
 }
 
-// Node is a node that runs in this process.
+// Node is a node that runs in the test process.
 type Node struct {
-	// Instance says which node it is.
+	// Instance identifies the node.
 	Instance coltsfootward.Instance
-	// Callers is the address of its face for callers, Backend the one for its
-	// backend server.
-	Callers, Backend string
-	// Loop runs its machine.
+	// CallerAddress is the address of the listener for callers, BackendAddress that of
+	// the listener for the local backend server.
+	CallerAddress, BackendAddress string
+	// Loop runs the node's state machine.
 	Loop *loop.Loop
-	// Transport connects it with its peers.
+	// Transport connects the node with its peers.
 	Transport *peer.Transport
 
 	upstream *upstream.Server
@@ -96,14 +96,14 @@
 	n := &Node{Instance: options.Self, ready: make(chan struct{})}
 	clock := loop.NewClock()
 	n.Transport = peer.NewTransport(options.Self, clock.Now, n, listener)
-	machine := node.New(options, rand.New(rand.NewPCG(rand.Uint64(), 1)), clock.Now())
-	n.Loop = loop.New(machine, clock, loop.Handlers{
+	core := node.New(options, rand.New(rand.NewPCG(rand.Uint64(), 1)), clock.Now())
+	n.Loop = loop.New(core, clock, loop.Handlers{
 		Send: n.Transport.Send, Table: table, Report: n.report, Drained: func() {},
 	})
 	n.upstream = upstream.New(n.Loop, clock)
 	close(n.ready)
-	n.Callers = n.serve(t, caller.Options{})
-	n.Backend = n.serve(t, caller.Options{Local: true})
+	n.CallerAddress = n.serve(t, caller.Options{})
+	n.BackendAddress = n.serve(t, caller.Options{Local: true})
 	t.Cleanup(n.Stop)
 	return n
 }
@@ -131,7 +131,7 @@
 	return listener.Addr().String()
 }
 
-// Stop ends the node at once.
+// Stop closes the node at once, without draining.
 func (n *Node) Stop() {
 	n.once.Do(func() {
 		n.Loop.Close()
@@ -142,14 +142,15 @@
 	})
 }
 
-// Announce tells the node what its backend server at address offers.
+// Announce announces a backend server at address with a service and a number of slots
+// to the node.
 func (n *Node) Announce(t testing.TB, address string, service coltsfootward.ServiceName, slots int) {
 	t.Helper()
 	data, err := json.Marshal(upstream.Announcement{Service: service, Address: address, Slots: slots, Connections: slots})
 	if err != nil {
 		t.Fatalf("encode announcement: %v", err)
 	}
-	response, err := http.Post("http://"+n.Backend+upstream.AnnouncePath, "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+n.BackendAddress+upstream.AnnouncePath, "application/json", bytes.NewReader(data))
 	if err != nil {
 		t.Fatalf("announce: %v", err)
 	}
@@ -159,8 +160,8 @@
 	}
 }
 
-// AwaitUpstreams waits until the node knows that many upstreams and has a
-// configuration in force.
+// AwaitUpstreams waits until the node has a configuration in force and at least count
+// upstreams.
 func (n *Node) AwaitUpstreams(t testing.TB, count int) {
 	t.Helper()
 	Until(t, "upstreams known", func() bool {
@@ -170,17 +171,17 @@
 	})
 }
 
-// Until waits for a condition.
-func Until(t testing.TB, what string, done func() bool) {
+// Until waits until done returns true. It fails the test after Wait.
+func Until(t testing.TB, condition string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Wait); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("gave up waiting for: %s", what)
+	for deadline := time.Now().Add(Wait); !done(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
 
-// Records returns what the node has reported.
+// Records returns the log records that the node has reported.
 func (n *Node) Records() []record.Record {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -194,7 +195,7 @@
 }
 
 // ServeCall implements peer.Handler.
-func (n *Node) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (n *Node) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	<-n.ready
 	n.upstream.ServeCall(ctx, call, w)
 }
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -13,78 +13,81 @@
 	"coltsfootward"
 )
 
-// A node among hundreds has as many connections, and most of them are silent most of
-// the time, so what each one keeps is small.
+// A node in a fleet of hundreds has hundreds of connections, and most of them are idle
+// most of the time, so each connection holds little memory.
 const (
-	// outgoingFrames is the size of the ring between those who send and the
-	// goroutine that writes.
-	outgoingFrames = 64
-	// readBuffer is the size of a connection's read buffer in bytes. Larger frames
-	// pass around it.
-	readBuffer = 2 << 10
-	// writeBuffer is the size in bytes of the buffer that a connection has while it
-	// writes.
-	writeBuffer = 16 << 10
+	// writeQueueLength is the capacity, in frames, of the queue between the senders
+	// and the connection's writer goroutine.
+	writeQueueLength = 64
+	// readBufferSize is the size of a connection's read buffer in bytes. Larger frames
+	// bypass it.
+	readBufferSize = 2 << 10
+	// writeBufferSize is the size in bytes of the buffer that a connection borrows from
+	// a pool while it writes.
+	writeBufferSize = 16 << 10
 )
 
-// errConnectionClosed says that the connection broke or was closed.
+// errConnectionClosed reports that the connection failed or was closed.
 var errConnectionClosed = errors.New("peer: connection closed: the call may be sent to another instance")
 
-// errPeerLeaving says that the peer takes no further call on the connection.
-var errPeerLeaving = errors.New("peer: the peer is leaving: the call may be sent to another instance")
+// errPeerLeaving reports that the peer accepts no further calls on the connection,
+// because it is shutting down.
+var errPeerLeaving = errors.New("peer: the peer is shutting down: the call may be sent to another instance")
 
-// outgoing is a frame on its way to the writer.
-type outgoing struct {
+// writeRequest is an entry of a connection's write queue: a frame, or a flush.
+type writeRequest struct {
 	frame frame
-	// begin is called before the first byte may leave; if it returns false the
-	// frame is left out. Nil always sends.
-	begin func() bool
+	// beginSend is called before the first byte is written. If it returns false, the
+	// frame is skipped. If it is nil, the frame is always written.
+	beginSend func() bool
 	// flushed, if not nil, is closed once everything queued before has been
-	// handed to the network. Such an entry holds no frame.
+	// written to the socket. Such an entry holds no frame.
 	flushed chan struct{}
 }
 
-// connection is one TCP connection with its reader and writer goroutines. The
-// ring between them and done are all that its users touch.
+// connection is one TCP connection with its reader and writer goroutines. Only the
+// writer goroutine writes to the socket; senders append to writeQueue.
 type connection struct {
-	net      net.Conn
-	clock    func() coltsfootward.Instant
-	remote   coltsfootward.Instance
-	outgoing chan outgoing
-	done     chan struct{}
-	once     sync.Once
-	// opening is held while a call takes its number and queues its first frame.
-	opening chan struct{}
+	net        net.Conn
+	clock      func() coltsfootward.Instant
+	remote     coltsfootward.Instance
+	writeQueue chan writeRequest
+	done       chan struct{}
+	closeOnce  sync.Once
+	// openLock is held while a call is given its ID and its first frame is queued. It
+	// is a channel so that waiting for it can end with a context.
+	openLock chan struct{}
 
 	mu      sync.Mutex
 	streams map[uint32]*stream
-	next    uint32
-	// leaving is set once the peer has said goodbye.
-	leaving bool
-	// told is set once this node has said goodbye, acknowledged once the peer
-	// has promised to send no further call.
-	told, acknowledged bool
-	offsets            offsets
-	// lastUsed is when a call or message last passed, by Instant.Monotonic.
+	lastID  uint32
+	// peerLeaving is set once a goodbye frame has arrived from the peer.
+	peerLeaving bool
+	// goodbyeSent is set once this node has queued its goodbye frame;
+	// goodbyeAcknowledged, once the peer has replied that it sends no further call.
+	goodbyeSent, goodbyeAcknowledged bool
+	clockOffset                      clockOffset
+	// lastUsed is when a call or message was last sent, by Instant.Monotonic.
 	lastUsed time.Duration
-	// heard is set once a frame whose age matters has come since the last probe.
-	heard atomic.Bool
+	// receivedSinceProbe is set if a call or message has arrived since the last probe.
+	// The age of other frames is not used.
+	receivedSinceProbe atomic.Bool
 }
 
 func newConnection(c net.Conn, remote coltsfootward.Instance, clock func() coltsfootward.Instant) *connection {
 	return &connection{
-		net:      c,
-		clock:    clock,
-		remote:   remote,
-		outgoing: make(chan outgoing, outgoingFrames),
-		done:     make(chan struct{}),
-		opening:  make(chan struct{}, 1),
-		streams:  make(map[uint32]*stream),
+		net:        c,
+		clock:      clock,
+		remote:     remote,
+		writeQueue: make(chan writeRequest, writeQueueLength),
+		done:       make(chan struct{}),
+		openLock:   make(chan struct{}, 1),
+		streams:    make(map[uint32]*stream),
 	}
 }
 
 func (c *connection) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		c.net.Close()
 		c.mu.Lock()
@@ -106,22 +109,22 @@
 	}
 }
 
-// send queues a frame and waits for room in the ring.
+// send queues a frame. It blocks while the write queue is full.
 func (c *connection) send(ctx context.Context, kind frameKind, id uint32, payload []byte) error {
-	return c.enqueue(ctx, outgoing{frame: frame{Kind: kind, Stream: id, Payload: payload}})
+	return c.enqueue(ctx, writeRequest{frame: frame{Kind: kind, Stream: id, Payload: payload}})
 }
 
-func (c *connection) enqueue(ctx context.Context, o outgoing) error {
+func (c *connection) enqueue(ctx context.Context, request writeRequest) error {
 	select {
 	case <-c.done:
 		return errConnectionClosed
 	default:
 	}
-	if len(o.frame.Payload) > maximumPayload {
-		return &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", len(o.frame.Payload), maximumPayload)}
+	if len(request.frame.Payload) > maximumPayloadSize {
+		return &FrameError{Reason: fmt.Sprintf("%d bytes are more than %d", len(request.frame.Payload), maximumPayloadSize)}
 	}
 	select {
-	case c.outgoing <- o:
+	case c.writeQueue <- request:
 		return nil
 	case <-c.done:
 		return errConnectionClosed
@@ -130,10 +133,10 @@
 	}
 }
 
-// flush waits until everything queued so far has been handed to the network.
+// flush waits until everything queued so far has been written to the socket.
 func (c *connection) flush(ctx context.Context) {
 	flushed := make(chan struct{})
-	if c.enqueue(ctx, outgoing{flushed: flushed}) != nil {
+	if c.enqueue(ctx, writeRequest{flushed: flushed}) != nil {
 		return
 	}
 	select {
@@ -143,16 +146,17 @@
 	}
 }
 
-// finish hands over everything queued so far, says that nothing follows and
-// waits until the peer has closed its side.
+// shutdown flushes the write queue, closes the sending direction and waits until
+// the peer has closed the connection.
 //
-// Closed at once with credits or pongs unread, the socket would be reset, and
-// the reset makes the peer's kernel drop what it has received but not read: the
-// end of an answer that was sent whole.
-func (c *connection) finish(ctx context.Context) {
+// If the socket were closed at once while credits or pongs were still unread, the
+// kernel would reset it. A reset makes the peer's kernel discard data that it has
+// received but that was not read yet, such as the end of a response that was sent
+// completely.
+func (c *connection) shutdown(ctx context.Context) {
 	c.flush(ctx)
-	half, ok := c.net.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.net.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	select {
@@ -161,33 +165,34 @@
 	}
 }
 
-// reset tells the peer that this side has left the call. It never waits: with
-// the ring full, a goroutine that ends with the connection does.
+// reset sends the peer a frame that aborts the call. It never blocks: if the write
+// queue is full, a goroutine that ends with the connection sends the frame.
 func (c *connection) reset(id uint32) {
 	select {
-	case c.outgoing <- outgoing{frame: frame{Kind: frameReset, Stream: id}}:
+	case c.writeQueue <- writeRequest{frame: frame{Kind: frameReset, Stream: id}}:
 	default:
-		go func() { _ = c.send(context.Background(), frameReset, id, nil) }() // a closed connection tells the peer as well
+		go func() { _ = c.send(context.Background(), frameReset, id, nil) }() // a closed connection aborts the call as well
 	}
 }
 
-// trySend queues a frame if there is room.
+// trySend queues a frame and reports whether there was room in the write queue.
 func (c *connection) trySend(kind frameKind, payload []byte) bool {
 	return c.trySendStream(kind, 0, payload)
 }
 
 func (c *connection) trySendStream(kind frameKind, id uint32, payload []byte) bool {
-	if len(payload) > maximumPayload {
+	if len(payload) > maximumPayloadSize {
 		return false
 	}
 	select {
-	case c.outgoing <- outgoing{frame: frame{Kind: kind, Stream: id, Payload: payload}}:
+	case c.writeQueue <- writeRequest{frame: frame{Kind: kind, Stream: id, Payload: payload}}:
 		return true
 	default:
 		return false
 	}
 }
 
+// sendValue encodes value and queues it as the payload of a frame.
 func (c *connection) sendValue(kind frameKind, id uint32, value any) error {
 	payload, err := encode(value)
 	if err != nil {
@@ -196,13 +201,13 @@
 	return c.send(context.Background(), kind, id, payload)
 }
 
-// write runs until the connection closes.
-func (c *connection) write() {
+// writeLoop writes queued frames until the connection closes.
+func (c *connection) writeLoop() {
 	defer c.close()
 	for {
 		select {
-		case o := <-c.outgoing:
-			if c.writeAll(o) != nil {
+		case request := <-c.writeQueue:
+			if c.writeBatch(request) != nil {
 				return
 			}
 		case <-c.done:
@@ -211,37 +216,39 @@
 	}
 }
 
-// frameWriters keeps writers for the connections that write just now.
-var frameWriters = sync.Pool{New: func() any { return newFrameWriter(bufio.NewWriterSize(nil, writeBuffer)) }}
+// frameWriterPool shares frame writers and their buffers among the connections that
+// are writing.
+var frameWriterPool = sync.Pool{New: func() any { return newFrameWriter(bufio.NewWriterSize(nil, writeBufferSize)) }}
 
-// writeAll writes the frame and those that wait behind it.
-func (c *connection) writeAll(o outgoing) error {
-	frames := frameWriters.Get().(*frameWriter)
-	defer frameWriters.Put(frames)
-	frames.w.Reset(c.net)
-	defer frames.w.Reset(nil)
+// writeBatch writes an entry and all entries queued behind it, then flushes.
+func (c *connection) writeBatch(request writeRequest) error {
+	writer := frameWriterPool.Get().(*frameWriter)
+	defer frameWriterPool.Put(writer)
+	writer.w.Reset(c.net)
+	defer writer.w.Reset(nil)
 	for {
-		if err := c.writeOne(frames, o); err != nil {
+		if err := c.writeOne(writer, request); err != nil {
 			return err
 		}
 		select {
-		case o = <-c.outgoing:
+		case request = <-c.writeQueue:
 		default:
-			return frames.w.Flush()
+			return writer.w.Flush()
 		}
 	}
 }
 
-func (c *connection) writeOne(frames *frameWriter, o outgoing) error {
-	if o.flushed != nil {
-		defer close(o.flushed)
-		return frames.w.Flush()
+// writeOne writes the frame of an entry to the buffer, or flushes the buffer.
+func (c *connection) writeOne(writer *frameWriter, request writeRequest) error {
+	if request.flushed != nil {
+		defer close(request.flushed)
+		return writer.w.Flush()
 	}
-	if o.begin != nil && !o.begin() {
+	if request.beginSend != nil && !request.beginSend() {
 		return nil
 	}
-	o.frame.Sent = int64(c.clock().Monotonic)
-	return frames.write(o.frame)
+	request.frame.Sent = int64(c.clock().Monotonic)
+	return writer.write(request.frame)
 }
 
 // age returns an upper bound of the time since the peer sent the frame.
@@ -249,11 +256,11 @@
 	now := c.clock().Expiry
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.offsets.age(now, time.Duration(f.Sent))
+	return c.clockOffset.age(now, time.Duration(f.Sent))
 }
 
-// pong takes in the echo of a probe.
-func (c *connection) pong(f frame) error {
+// handlePong applies the peer's echo of a probe.
+func (c *connection) handlePong(f frame) error {
 	var p probe
 	if err := decode(f.Payload, &p); err != nil {
 		return err
@@ -264,17 +271,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.offsets.echo(now, time.Duration(p.Probe), time.Duration(f.Sent))
+	c.clockOffset.update(now, time.Duration(p.Probe), time.Duration(f.Sent))
 	return nil
 }
 
-// open registers a new call and queues its first frame. Both happen under one
-// lock: the peer takes a call whose number is below one that it has seen for a
-// replay and closes the connection, so numbers must be queued in their order.
-func (c *connection) open(ctx context.Context, payload []byte) (*stream, error) {
+// openCall registers a new call and queues its first frame. Both happen under
+// openLock, because IDs must be queued in ascending order: the peer rejects a call
+// whose ID is not above the last one as a replay and closes the connection.
+func (c *connection) openCall(ctx context.Context, payload []byte) (*stream, error) {
 	select {
-	case c.opening <- struct{}{}:
-		defer func() { <-c.opening }()
+	case c.openLock <- struct{}{}:
+		defer func() { <-c.openLock }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -282,48 +289,48 @@
 	if err != nil {
 		return nil, err
 	}
-	o := outgoing{frame: frame{Kind: frameCall, Stream: s.id, Payload: payload}, begin: s.begin}
-	if err := c.enqueue(ctx, o); err != nil {
-		c.forget(s.id)
+	request := writeRequest{frame: frame{Kind: frameCall, Stream: s.id, Payload: payload}, beginSend: s.beginSend}
+	if err := c.enqueue(ctx, request); err != nil {
+		c.removeStream(s.id)
 		return nil, err
 	}
 	return s, nil
 }
 
-// openStream registers a new call.
+// openStream registers a new call under the next ID.
 func (c *connection) openStream() (*stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed() {
 		return nil, errConnectionClosed
 	}
-	if c.leaving {
+	if c.peerLeaving {
 		return nil, errPeerLeaving
 	}
-	c.next++
-	s := newStream(c, c.next)
+	c.lastID++
+	s := newStream(c, c.lastID)
 	c.streams[s.id] = s
 	return s, nil
 }
 
-// acceptStream registers a call that the peer opened. It returns nil if the
-// peer has as many calls open as one connection may have. left is called once
-// the peer has left the call or the connection has broken.
-func (c *connection) acceptStream(id uint32, left context.CancelFunc) (*stream, error) {
+// acceptStream registers a call that the peer opened. It returns nil if the peer
+// already has maximumStreams calls open on the connection. cancel is called once
+// the peer has aborted the call or the connection has failed.
+func (c *connection) acceptStream(id uint32, cancel context.CancelFunc) (*stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed() {
 		return nil, errConnectionClosed
 	}
-	if id <= c.next {
-		return nil, &FrameError{Reason: fmt.Sprintf("call number %d was used before", id)}
+	if id <= c.lastID {
+		return nil, &FrameError{Reason: fmt.Sprintf("call ID %d was used before", id)}
 	}
-	c.next = id
+	c.lastID = id
 	if len(c.streams) >= maximumStreams {
 		return nil, nil
 	}
 	s := newStream(c, id)
-	s.left = left
+	s.cancelServing = cancel
 	c.streams[id] = s
 	return s, nil
 }
@@ -334,12 +341,13 @@
 	return c.streams[id]
 }
 
-func (c *connection) forget(id uint32) {
+func (c *connection) removeStream(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, id)
 }
 
+// touch records that the connection is in use, which restarts its idle time.
 func (c *connection) touch() {
 	now := c.clock().Monotonic
 	c.mu.Lock()
@@ -347,7 +355,9 @@
 	c.lastUsed = now
 }
 
-func (c *connection) idle() time.Duration {
+// idleTime returns the time since the connection was last used; zero while calls are
+// open.
+func (c *connection) idleTime() time.Duration {
 	now := c.clock().Monotonic
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -357,13 +367,13 @@
 	return now - c.lastUsed
 }
 
-// streamFrame brings a frame to its call. A frame for a call that has ended is
-// dropped: late answers must not reach another call, and numbers are never
-// used again on a connection.
-func (c *connection) streamFrame(f frame) error {
+// handleStreamFrame dispatches a frame to its call. A frame for a call that has ended
+// is dropped. Since IDs are never reused on a connection, a late response cannot
+// reach another call.
+func (c *connection) handleStreamFrame(f frame) error {
 	s := c.stream(f.Stream)
 	if s == nil {
 		return nil
 	}
-	return s.take(f)
+	return s.handleFrame(f)
 }
--- a/io/peer/handshake.go
+++ b/io/peer/handshake.go
@@ -11,40 +11,41 @@
 	"coltsfootward/io/socket"
 )
 
-// welcome answers the dialler's hello.
-func (t *Transport) welcome(n net.Conn) (*connection, *bufio.Reader, error) {
+// serverHandshake exchanges hello frames on an accepted connection.
+func (t *Transport) serverHandshake(n net.Conn) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
 	}
-	reader := bufio.NewReaderSize(n, readBuffer)
-	theirs, err := readHello(reader)
+	reader := bufio.NewReaderSize(n, readBufferSize)
+	peerHello, err := readHello(reader)
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := t.writeHello(n); err != nil {
 		return nil, nil, err
 	}
-	if err := checkVersion(theirs); err != nil {
+	if err := checkHello(peerHello); err != nil {
 		return nil, nil, err
 	}
-	return t.established(n, theirs), reader, nil
+	return t.establish(n, peerHello), reader, nil
 }
 
-func (t *Transport) established(n net.Conn, theirs hello) *connection {
+// establish removes the deadline of the handshake and returns the connection for frames.
+func (t *Transport) establish(n net.Conn, peerHello hello) *connection {
 	if err := n.SetDeadline(time.Time{}); err != nil {
 		n.Close()
 	}
-	c := newConnection(&timedConn{Conn: n}, theirs.Instance, t.clock)
+	c := newConnection(&writeDeadlineConn{Conn: n}, peerHello.Instance, t.clock)
 	c.touch()
 	return c
 }
 
-func checkVersion(h hello) error {
+func checkHello(h hello) error {
 	if h.Version != ProtocolVersion {
-		return &FrameError{Reason: fmt.Sprintf("protocol version %d, this node speaks %d", h.Version, ProtocolVersion)}
+		return &FrameError{Reason: fmt.Sprintf("protocol version %d, this node has %d", h.Version, ProtocolVersion)}
 	}
 	if h.Instance.ID == "" {
-		return &FrameError{Reason: "hello without an instance"}
+		return &FrameError{Reason: "hello without an instance ID"}
 	}
 	return nil
 }
@@ -73,41 +74,44 @@
 	return w.Flush()
 }
 
-func (t *Transport) handshake(to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
-	n, err := socket.Dialer(dialTimeout).DialContext(t.ending, "tcp", to.Address)
+func (t *Transport) dialAndHandshake(to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
+	n, err := socket.Dialer(dialTimeout).DialContext(t.closing, "tcp", to.Address)
 	if err != nil {
 		return nil, nil, fmt.Errorf("peer: dial %s: %w: check that the instance runs and its address is reachable", to.ID, err)
 	}
-	release := t.closeAtEnd(n)
-	c, reader, err := t.greet(n, to)
+	release := t.closeWithTransport(n)
+	c, reader, err := t.clientHandshake(n, to)
 	release()
 	if err != nil {
 		n.Close()
-		t.rejected(n.RemoteAddr().String(), err)
+		t.reportRejected(n.RemoteAddr().String(), err)
 		return nil, nil, err
 	}
 	return c, reader, nil
 }
 
-func (t *Transport) greet(n net.Conn, to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
+// clientHandshake exchanges hello frames on a dialled connection and checks that the
+// peer is the intended instance.
+func (t *Transport) clientHandshake(n net.Conn, to coltsfootward.Instance) (*connection, *bufio.Reader, error) {
 	if err := n.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, nil, err
 	}
 	if err := t.writeHello(n); err != nil {
 		return nil, nil, err
 	}
-	reader := bufio.NewReaderSize(n, readBuffer)
-	theirs, err := readHello(reader)
+	reader := bufio.NewReaderSize(n, readBufferSize)
+	peerHello, err := readHello(reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := checkVersion(theirs); err != nil {
+	if err := checkHello(peerHello); err != nil {
 		return nil, nil, err
 	}
-	if theirs.Instance.ID != to.ID {
-		return nil, nil, &FrameError{Reason: fmt.Sprintf("dialled %s, reached %s", to.ID, theirs.Instance.ID)}
+	if peerHello.Instance.ID != to.ID {
+		return nil, nil, &FrameError{Reason: fmt.Sprintf("dialled instance %s, reached %s", to.ID, peerHello.Instance.ID)}
 	}
-	c := t.established(n, theirs)
-	// The echo goes first, so that the peer can bound the age of all that follows.
-	return c, reader, c.sendValue(framePong, 0, &probe{Probe: theirs.Probe})
+	c := t.establish(n, peerHello)
+	// The echo is the first frame after the hello, so that the peer can bound the age
+	// of all frames that follow.
+	return c, reader, c.sendValue(framePong, 0, &probe{Probe: peerHello.Probe})
 }
--- a/io/peer/probe_test.go
+++ b/io/peer/probe_test.go
@@ -10,7 +10,7 @@
 	"coltsfootward/io/peer"
 )
 
-// nextKind returns the kind of the next frame, or "" if none comes within d.
+// nextKind returns the kind of the next frame, or "" if none arrives within d.
 func nextKind(t *testing.T, c net.Conn, r *bufio.Reader, d time.Duration) string {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
@@ -23,20 +23,21 @@
 	return string(f.Kind)
 }
 
-// Guards against a node among hundreds that spends its time on probing the clocks of
-// silent peers.
+// In a fleet of hundreds, a node that probed the clocks of all peers would spend most of
+// its CPU time on probes of silent ones. Only peers that have sent a call or message
+// since the last probe may be probed.
 func TestSilentPeerIsNotProbed(t *testing.T) {
 	const silence = 200 * time.Millisecond
-	p := newPair(t, holdOrAnswer)
+	p := newPair(t, holdOrRespond)
 	c := dialRaw(t, p)
 	if _, err := c.Write(helloFrame(peer.ProtocolVersion)); err != nil {
 		t.Fatal(err)
 	}
 	r := bufio.NewReader(c)
-	if kind := nextKind(t, c, r, wait); kind != string(peer.FrameHello) {
+	if kind := nextKind(t, c, r, waitTimeout); kind != string(peer.FrameHello) {
 		t.Fatalf("got %q, want the hello", kind)
 	}
-	p.server.ProbeAll()
+	p.server.ProbeActivePeers()
 	if kind := nextKind(t, c, r, silence); kind != "" {
 		t.Fatalf("got %q, want no frame on a silent connection", kind)
 	}
@@ -47,8 +48,8 @@
 	if _, err := c.Write(peer.EncodeFrame(peer.NewFrame(string(peer.FrameMessage), 0, payload))); err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool {
-		p.server.ProbeAll()
+	waitUntil(t, func() bool {
+		p.server.ProbeActivePeers()
 		return nextKind(t, c, r, silence) == string(peer.FramePing)
 	})
 }
--- a/io/peer/shutdown.go
+++ b/io/peer/shutdown.go
@@ -5,80 +5,83 @@
 	"time"
 )
 
-// goodbyeInterval is the time between two looks at who has answered a goodbye.
-const goodbyeInterval = 2 * time.Millisecond
+// goodbyePollInterval is the time between two checks for acknowledged goodbyes.
+const goodbyePollInterval = 2 * time.Millisecond
 
-// takeLeave tells every peer goodbye and waits until each has promised to send
-// no further call, or for finishTimeout. The handler must go on answering
-// meanwhile.
+// announceShutdown sends every peer a goodbye and waits until each has acknowledged
+// that it sends no further call, or until finishTimeout has passed. The handler must
+// continue to serve calls meanwhile.
 //
-// A call that crosses the close of a connection ends in doubt, although it
-// never ran. So each peer is told goodbye first. It opens no further call on
-// the connection, which is certain not to run then, and says so behind the
-// last one that it sent: what has to be answered is then known.
-func (t *Transport) takeLeave(ctx context.Context) {
+// If a connection were closed without notice, a call sent at the same time would end
+// with an unknown outcome, although it was never executed. After a goodbye, the peer
+// sends no further calls on the connection: it reports them as not sent, so their
+// callers know that they were not executed. It queues the acknowledgement behind the
+// last call that it sent. Once the acknowledgement has arrived, this node has received
+// every call that it has to answer.
+func (t *Transport) announceShutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	if t.listener != nil {
 		t.listener.Close()
 	}
-	for !t.allAcknowledged() {
+	for !t.sendGoodbyes() {
 		select {
-		case <-time.After(goodbyeInterval):
+		case <-time.After(goodbyePollInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// allAcknowledged says goodbye to those who have not been told, since
-// connections whose handshake was under way appear later.
-func (t *Transport) allAcknowledged() bool {
+// sendGoodbyes sends a goodbye to each peer that has not been sent one, and reports
+// whether every peer has acknowledged its goodbye. It is called repeatedly, because
+// connections whose handshake was in progress are added later.
+func (t *Transport) sendGoodbyes() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := true
 	for c := range t.accepted {
-		all = c.sayGoodbye() && all
+		all = c.sendGoodbye() && all
 	}
 	return all
 }
 
-// sayGoodbye queues the goodbye once and reports whether it was acknowledged. A
-// full ring is tried again later.
-func (c *connection) sayGoodbye() bool {
+// sendGoodbye queues the goodbye once and reports whether the peer has acknowledged
+// it. If the write queue is full, the next call tries again.
+func (c *connection) sendGoodbye() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.told {
-		c.told = c.trySend(frameGoodbye, nil)
+	if !c.goodbyeSent {
+		c.goodbyeSent = c.trySend(frameGoodbye, nil)
 	}
-	return c.acknowledged
+	return c.goodbyeAcknowledged
 }
 
-// takeGoodbye handles the peer's goodbye. The promise is queued while no call
-// is being opened, so that it stands behind every call that was.
-func (c *connection) takeGoodbye() {
+// handleGoodbye handles the peer's goodbye. The acknowledgement is queued under
+// openLock, so that it follows every call that was opened before.
+func (c *connection) handleGoodbye() {
 	c.mu.Lock()
-	c.leaving = true
+	c.peerLeaving = true
 	c.mu.Unlock()
 	go func() {
 		select {
-		case c.opening <- struct{}{}:
+		case c.openLock <- struct{}{}:
 		case <-c.done:
 			return
 		}
-		defer func() { <-c.opening }()
-		_ = c.send(context.Background(), frameNoMoreCalls, 0, nil) // a closed connection promises the same
+		defer func() { <-c.openLock }()
+		_ = c.send(context.Background(), frameNoMoreCalls, 0, nil) // a closed connection carries no further calls either
 	}()
 }
 
-func (c *connection) takeNoMoreCalls() {
+func (c *connection) handleNoMoreCalls() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acknowledged = true
+	c.goodbyeAcknowledged = true
 }
 
-func (c *connection) isLeaving() bool {
+func (c *connection) isPeerLeaving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leaving
+	return c.peerLeaving
 }
--- a/io/peer/stream.go
+++ b/io/peer/stream.go
@@ -10,64 +10,68 @@
 	"coltsfootward/core/message"
 )
 
-// ErrTruncated is returned by a body's reader when the answer or request broke
-// off before its end. What was read so far is not whole.
-var ErrTruncated = errors.New("peer: body broke off before its end: do not use what was read as whole")
+// ErrTruncated is returned by a body's reader when the request or response was
+// aborted before its end. The part that was read so far is incomplete.
+var ErrTruncated = errors.New("peer: body truncated: do not use the part that was read as the complete body")
 
-// stream is one call on a connection, seen from either side.
+// stream is the state of one call on a connection, on the calling or the serving side.
 type stream struct {
 	connection *connection
 	id         uint32
-	// departure says whether a byte of the call may have left this node.
-	departure atomic.Int32
-	// head receives the answer's head, on the side that opened the call.
+	// sendState records whether a byte of the call may have been sent; see sendQueued.
+	sendState atomic.Int32
+	// head receives the head of the response, on the calling side.
 	head chan message.Response
-	// chunks receives the body. Its size is the window, so a peer that keeps
-	// to the window never finds it full.
+	// chunks receives the body. Its capacity is the flow-control window, so it is
+	// never full for a peer that observes the window.
 	chunks chan []byte
 	// credits holds a token for each chunk that may be sent.
 	credits chan struct{}
-	// done is closed when the call has ended for either side.
-	done chan struct{}
-	once sync.Once
-	// left is called then, on the side that serves the call; nil for none.
-	left context.CancelFunc
-	// ended is closed when the peer's end frame arrived.
-	ended chan struct{}
-	// endTaken is set by the first end frame.
-	endTaken atomic.Bool
-	end      message.ResponseEnd
-	err      error
-	rest     []byte
+	// done is closed when either side has cancelled, reset or finished the call, or the
+	// connection has closed.
+	done     chan struct{}
+	failOnce sync.Once
+	// cancelServing is called when done is closed, on the serving side; it may be nil.
+	cancelServing context.CancelFunc
+	// endReceived is closed when the peer's end frame has arrived.
+	endReceived chan struct{}
+	// hasEnd is set by the first end frame, to detect a second one.
+	hasEnd atomic.Bool
+	end    message.ResponseEnd
+	err    error
+	unread []byte
 }
 
-// The states of a call's departure. It leaves queued once, either way: the
-// writer begins it, or its caller withdraws it and the writer leaves it out.
+// The values of stream.sendState. The state changes once, from sendQueued to either
+// sendBegun, by the writer, or sendWithdrawn, by a caller that gives up; the writer then
+// skips the call's frame.
 const (
-	departureQueued int32 = iota
-	departureBegun
-	departureWithdrawn
+	sendQueued int32 = iota
+	sendBegun
+	sendWithdrawn
 )
 
-// begin is called before the first byte may leave; false means not to send.
-func (s *stream) begin() bool {
-	return s.departure.CompareAndSwap(departureQueued, departureBegun)
+// beginSend is called before the first byte is written. It returns false if the call
+// was withdrawn and must not be sent.
+func (s *stream) beginSend() bool {
+	return s.sendState.CompareAndSwap(sendQueued, sendBegun)
 }
 
-// withdraw reports whether no byte of the call has left nor ever will.
+// withdraw prevents the call from being sent. It returns false if sending has begun, so
+// that the peer may have received the call.
 func (s *stream) withdraw() bool {
-	return s.departure.CompareAndSwap(departureQueued, departureWithdrawn)
+	return s.sendState.CompareAndSwap(sendQueued, sendWithdrawn)
 }
 
 func newStream(c *connection, id uint32) *stream {
 	s := &stream{
-		connection: c,
-		id:         id,
-		head:       make(chan message.Response, 1),
-		chunks:     make(chan []byte, windowChunks),
-		credits:    make(chan struct{}, windowChunks),
-		done:       make(chan struct{}),
-		ended:      make(chan struct{}),
+		connection:  c,
+		id:          id,
+		head:        make(chan message.Response, 1),
+		chunks:      make(chan []byte, windowChunks),
+		credits:     make(chan struct{}, windowChunks),
+		done:        make(chan struct{}),
+		endReceived: make(chan struct{}),
 	}
 	for range windowChunks {
 		s.credits <- struct{}{}
@@ -75,32 +79,33 @@
 	return s
 }
 
-// fail ends the call with err. Only the first end counts.
+// fail ends the call with err. Only the first call of fail has an effect.
 func (s *stream) fail(err error) {
-	s.once.Do(func() {
+	s.failOnce.Do(func() {
 		s.err = err
 		close(s.done)
-		if s.left != nil {
-			s.left()
+		if s.cancelServing != nil {
+			s.cancelServing()
 		}
 	})
 }
 
-// take handles a frame from the peer. An error closes the connection.
-func (s *stream) take(f frame) error {
+// handleFrame handles a frame from the peer. The caller closes the connection on an
+// error.
+func (s *stream) handleFrame(f frame) error {
 	switch f.Kind {
 	case frameAnswer:
-		return s.takeHead(f.Payload)
+		return s.handleHead(f.Payload)
 	case frameWhole:
-		return s.takeWhole(f.Payload)
+		return s.handleCompleteResponse(f.Payload)
 	case frameBody:
-		return s.takeChunk(f.Payload)
+		return s.handleChunk(f.Payload)
 	case frameCredit:
-		return s.takeCredit()
+		return s.handleCredit()
 	case frameEnd:
-		return s.takeEnd(f.Payload)
+		return s.handleEnd(f.Payload)
 	case frameReset:
-		s.connection.forget(s.id)
+		s.connection.removeStream(s.id)
 		s.fail(ErrTruncated)
 		return nil
 	default:
@@ -108,131 +113,133 @@
 	}
 }
 
-func (s *stream) takeHead(payload []byte) error {
+func (s *stream) handleHead(payload []byte) error {
 	var head message.Response
 	if err := decode(payload, &head); err != nil {
 		return err
 	}
-	return s.answer(head)
+	return s.deliverHead(head)
 }
 
-func (s *stream) answer(head message.Response) error {
+func (s *stream) deliverHead(head message.Response) error {
 	select {
 	case s.head <- head:
 		return nil
 	default:
-		return &FrameError{Reason: "second answer to one call"}
+		return &FrameError{Reason: "second response to one call"}
 	}
 }
 
-// takeWhole takes an answer with its body and end. The head goes last, so that
-// whoever waits for it finds the rest.
-func (s *stream) takeWhole(payload []byte) error {
-	var whole wholeAnswer
-	if err := decode(payload, &whole); err != nil {
+// handleCompleteResponse handles a response in one frame. The head is delivered last,
+// so that body and end are available to the goroutine that waits for the head.
+func (s *stream) handleCompleteResponse(payload []byte) error {
+	var response completeResponse
+	if err := decode(payload, &response); err != nil {
 		return err
 	}
-	if len(whole.Body) > 0 {
-		if err := s.takeChunk(whole.Body); err != nil {
+	if len(response.Body) > 0 {
+		if err := s.handleChunk(response.Body); err != nil {
 			return err
 		}
 	}
-	if err := s.finish(whole.End); err != nil {
+	if err := s.setEnd(response.End); err != nil {
 		return err
 	}
-	return s.answer(whole.Head)
+	return s.deliverHead(response.Head)
 }
 
-func (s *stream) takeChunk(payload []byte) error {
+func (s *stream) handleChunk(payload []byte) error {
 	select {
-	case <-s.ended:
-		return &FrameError{Reason: "body after its end"}
+	case <-s.endReceived:
+		return &FrameError{Reason: "body chunk after the end frame"}
 	default:
 	}
 	select {
 	case s.chunks <- payload:
 		return nil
 	default:
-		return &FrameError{Reason: "body beyond its window"}
+		return &FrameError{Reason: "body chunk beyond the flow-control window"}
 	}
 }
 
-func (s *stream) takeCredit() error {
+func (s *stream) handleCredit() error {
 	select {
 	case s.credits <- struct{}{}:
 		return nil
 	default:
-		return &FrameError{Reason: "credit beyond the window"}
+		return &FrameError{Reason: "credit beyond the flow-control window"}
 	}
 }
 
-func (s *stream) takeEnd(payload []byte) error {
+func (s *stream) handleEnd(payload []byte) error {
 	var end message.ResponseEnd
 	if err := decode(payload, &end); err != nil {
 		return err
 	}
-	return s.finish(end)
+	return s.setEnd(end)
 }
 
-// finish notes that the peer's body is whole.
-func (s *stream) finish(end message.ResponseEnd) error {
-	if s.endTaken.Swap(true) {
-		return &FrameError{Reason: "second end of one body"}
+// setEnd records that the peer's body is complete.
+func (s *stream) setEnd(end message.ResponseEnd) error {
+	if s.hasEnd.Swap(true) {
+		return &FrameError{Reason: "second end frame for one body"}
 	}
 	s.end = end
-	close(s.ended)
+	close(s.endReceived)
 	return nil
 }
 
 // Read implements io.Reader for the body that the peer sends. It returns
 // io.EOF only after the peer's end frame.
 func (s *stream) Read(p []byte) (int, error) {
-	if len(s.rest) == 0 {
+	if len(s.unread) == 0 {
 		chunk, err := s.nextChunk()
 		if err != nil {
 			return 0, err
 		}
-		s.rest = chunk
+		s.unread = chunk
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
 func (s *stream) nextChunk() ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
-		return s.consumed(chunk)
+		return s.sendCredit(chunk)
 	default:
 	}
 	select {
 	case chunk := <-s.chunks:
-		return s.consumed(chunk)
-	case <-s.ended:
-		return s.lastChunk()
+		return s.sendCredit(chunk)
+	case <-s.endReceived:
+		return s.remainingChunk()
 	case <-s.done:
-		return s.chunkOr(s.err)
+		return s.chunkOrError(s.err)
 	}
 }
 
-// chunkOr returns what arrived before the call ended. An answer that is whole
-// stays whole when the connection closes behind it.
-func (s *stream) chunkOr(err error) ([]byte, error) {
+// chunkOrError returns a chunk that arrived before the call ended, else io.EOF if the
+// body is complete, else err. A complete response thus stays readable after the
+// connection has closed.
+func (s *stream) chunkOrError(err error) ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
 		return chunk, nil
 	default:
 	}
 	select {
-	case <-s.ended:
+	case <-s.endReceived:
 		return nil, io.EOF
 	default:
 		return nil, err
 	}
 }
 
-// lastChunk drains what arrived before the end frame.
-func (s *stream) lastChunk() ([]byte, error) {
+// remainingChunk returns a chunk that arrived before the end frame, or io.EOF if all
+// were read.
+func (s *stream) remainingChunk() ([]byte, error) {
 	select {
 	case chunk := <-s.chunks:
 		return chunk, nil
@@ -241,22 +248,22 @@
 	}
 }
 
-// consumed tells the peer that it may send another chunk, unless it has sent the
-// last one: most bodies are a single chunk, and the frame would wake the peer for
-// nothing.
-func (s *stream) consumed(chunk []byte) ([]byte, error) {
+// sendCredit allows the peer to send another chunk, and returns the given one. It sends
+// no credit if the peer has sent its last chunk: most bodies are a single chunk, and
+// the credit would wake up the peer for nothing.
+func (s *stream) sendCredit(chunk []byte) ([]byte, error) {
 	select {
-	case <-s.ended:
+	case <-s.endReceived:
 		return chunk, nil
 	default:
 	}
-	// The chunk is intact whatever becomes of the credit; a break shows at the
-	// next read.
+	// The chunk is valid even if the credit cannot be sent; the next read then returns
+	// the connection's error.
 	_ = s.connection.send(context.Background(), frameCredit, s.id, nil)
 	return chunk, nil
 }
 
-// write sends a body as far as the peer's window allows and waits for more.
+// write sends a body in chunks. It blocks while the flow-control window is full.
 func (s *stream) write(ctx context.Context, p []byte) (int, error) {
 	written := 0
 	for len(p) > 0 {
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -22,19 +22,19 @@
 	"go.uber.org/goleak"
 )
 
-// wait is how long tests wait for what must come.
-const wait = 30 * time.Second
+// waitTimeout is the time after which a test that waits for an event fails.
+const waitTimeout = 30 * time.Second
 
-// handler serves calls by a function and keeps what was rejected.
+// handler serves calls by a function and records served requests and rejected frames.
 type handler struct {
-	serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)
+	serve func(context.Context, peer.IncomingCall, *peer.ResponseWriter)
 
 	mu       sync.Mutex
 	rejected []error
 	served   map[coltsfootward.RequestID]int
 }
 
-func (h *handler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+func (h *handler) ServeCall(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	h.mu.Lock()
 	if h.served == nil {
 		h.served = make(map[coltsfootward.RequestID]int)
@@ -66,15 +66,15 @@
 	return append([]error(nil), h.rejected...)
 }
 
-// breakable is a listener whose connections a test can stall and break.
-type breakable struct {
+// faultyListener is a listener whose connections a test can stall and close.
+type faultyListener struct {
 	net.Listener
 	mu      sync.Mutex
 	conns   []net.Conn
 	stalled chan struct{}
 }
 
-func (l *breakable) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -82,11 +82,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns = append(l.conns, c)
-	return &stalling{TCPConn: c.(*net.TCPConn), listener: l}, nil
+	return &stallingConn{TCPConn: c.(*net.TCPConn), listener: l}, nil
 }
 
-// stall makes reads wait until the returned function is called.
-func (l *breakable) stall() func() {
+// stall blocks all reads until the returned function is called.
+func (l *faultyListener) stall() func() {
 	stalled := make(chan struct{})
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *breakable) breakAll() {
+func (l *faultyListener) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
@@ -108,12 +108,12 @@
 	l.conns = nil
 }
 
-type stalling struct {
+type stallingConn struct {
 	*net.TCPConn
-	listener *breakable
+	listener *faultyListener
 }
 
-func (c *stalling) Read(p []byte) (int, error) {
+func (c *stallingConn) Read(p []byte) (int, error) {
 	c.listener.mu.Lock()
 	stalled := c.listener.stalled
 	c.listener.mu.Unlock()
@@ -123,21 +123,22 @@
 	return c.TCPConn.Read(p)
 }
 
-// pair is a transport that calls and one that serves.
-type pair struct {
+// transportPair is a client transport that sends calls and a server transport that
+// serves them.
+type transportPair struct {
 	client, server *peer.Transport
 	instance       coltsfootward.Instance
-	listener       *breakable
+	listener       *faultyListener
 	handler        *handler
 }
 
-func newPair(t testing.TB, serve func(context.Context, peer.IncomingCall, *peer.AnswerWriter)) *pair {
+func newPair(t testing.TB, serve func(context.Context, peer.IncomingCall, *peer.ResponseWriter)) *transportPair {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("listen: %v", err)
 	}
-	p := &pair{listener: &breakable{Listener: l}, handler: &handler{serve: serve}}
+	p := &transportPair{listener: &faultyListener{Listener: l}, handler: &handler{serve: serve}}
 	p.instance = coltsfootward.Instance{ID: "server", Address: l.Addr().String()}
 	p.server = peer.NewTransport(p.instance, loop.NewClock().Now, p.handler, p.listener)
 	p.client = peer.NewTransport(coltsfootward.Instance{ID: "client"}, loop.NewClock().Now, &handler{}, nil)
@@ -148,8 +149,9 @@
 	return p
 }
 
-// body is the answer that a path stands for; its length varies up to several windows.
-func body(path string) []byte {
+// responseBody returns the response body for a path. Its length depends on the path and
+// is up to several flow-control windows.
+func responseBody(path string) []byte {
 	seed := uint64(len(path))
 	for _, r := range path {
 		seed = seed*31 + uint64(r)
@@ -161,9 +163,9 @@
 	return bytes.Repeat([]byte(path+"|"), size/(len(path)+1)+1)
 }
 
-// answerBody serves the body that the path stands for, after a random time,
-// and echoes the request's body in front.
-func answerBody(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+// respondWithBody responds after a random time with the request's body followed by the
+// responseBody of the path.
+func respondWithBody(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 	sent, err := io.ReadAll(call.Body)
 	if err != nil {
 		return
@@ -176,35 +178,36 @@
 	if w.Head(message.Response{Status: 200}) != nil {
 		return
 	}
-	if _, err := w.Write(append(sent, body(call.Head.Path)...)); err != nil {
+	if _, err := w.Write(append(sent, responseBody(call.Head.Path)...)); err != nil {
 		return
 	}
 	_ = w.End(message.ResponseEnd{Attempts: 1})
 }
 
-// Hundreds of calls share one connection. Answers come late and out of order,
-// callers leave half-way, the connection breaks and is made anew. A caller that
-// got another's answer, or a truncated one as whole, would act on a wrong quote.
-func TestManyCallsGetTheirOwnWholeAnswers(t *testing.T) {
+// Hundreds of calls share one connection. Responses arrive late and out of order, callers
+// cancel calls in the middle, and the connection fails and is dialled again. A caller
+// that received the response to another call, or a truncated response as a complete
+// one, would act on a wrong quote.
+func TestConcurrentCallsGetTheirOwnCompleteResponses(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	p := newPair(t, answerBody)
+	p := newPair(t, respondWithBody)
 	defer p.server.Close()
 	defer p.client.Close()
-	var whole, broken atomic.Int64
+	var complete, failed atomic.Int64
 	var group sync.WaitGroup
 	done := make(chan struct{})
 	for caller := range 24 {
 		group.Go(func() {
 			for i := range 40 {
 				err := p.check(fmt.Sprintf("/%d/%d", caller, i), rand.IntN(4) == 0)
-				if err != nil && !errors.Is(err, errBroken) {
+				if err != nil && !errors.Is(err, errCallFailed) {
 					t.Error(err)
 				}
 				if err != nil {
-					broken.Add(1)
+					failed.Add(1)
 					continue
 				}
-				whole.Add(1)
+				complete.Add(1)
 			}
 		})
 	}
@@ -215,49 +218,51 @@
 			case <-done:
 				return
 			case <-time.After(50 * time.Millisecond):
-				p.listener.breakAll()
+				p.listener.closeAll()
 			}
 		}
 	})
 	group.Wait()
 	close(done)
 	breaker.Wait()
-	if whole.Load() == 0 {
-		t.Error("no answer was whole")
+	if complete.Load() == 0 {
+		t.Error("no response was complete")
 	}
-	t.Logf("%d answers whole, %d broke off", whole.Load(), broken.Load())
+	t.Logf("%d complete responses, %d failed calls", complete.Load(), failed.Load())
 }
 
-var errBroken = errors.New("call broke off")
+var errCallFailed = errors.New("call failed")
 
-// check makes one call and compares its answer, if whole, with its own.
-func (p *pair) check(path string, leave bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+// check makes one call and compares the response, if complete, with the expected one. It
+// returns errCallFailed if there is no complete response.
+func (p *transportPair) check(path string, cancelEarly bool) error {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	sent := []byte(strings.Repeat(path, 1+len(path)*rand.IntN(400)))
-	if leave {
+	if cancelEarly {
 		time.AfterFunc(rand.N(3*time.Millisecond), cancel)
 	}
-	answer, err := p.client.Call(ctx, p.instance, message.Call{Path: path}, sent)
+	response, err := p.client.Call(ctx, p.instance, message.Call{Path: path}, sent)
 	if err != nil {
-		return errBroken
+		return errCallFailed
 	}
-	defer answer.Close()
-	got, err := io.ReadAll(answer)
+	defer response.Close()
+	got, err := io.ReadAll(response)
 	if err != nil {
-		return errBroken
+		return errCallFailed
 	}
-	if want := append(sent, body(path)...); !bytes.Equal(got, want) {
-		return fmt.Errorf("%s: got a whole answer of %d bytes that is not its own, want %d bytes", path, len(got), len(want))
+	if want := append(sent, responseBody(path)...); !bytes.Equal(got, want) {
+		return fmt.Errorf("%s: got a complete response of %d bytes that is not the expected one of %d bytes", path, len(got), len(want))
 	}
 	return nil
 }
 
-// A call waits behind others for a peer that does not read, and its caller
-// gives up. Told "not sent", the entry node tries elsewhere or says "not run";
-// then the peer reads on and the call runs after all.
-func TestCallGivenUpInTheRingNeverLeaves(t *testing.T) {
-	p := newPair(t, answerBody)
+// A call is queued behind others for a peer that does not read, and its caller gives up.
+// Since Call reports that the call was not sent, the entry node retries it at another
+// instance or responds "not run". When the peer then resumes reading, the call must not
+// be executed after all.
+func TestCallWithdrawnFromQueueIsNeverSent(t *testing.T) {
+	p := newPair(t, respondWithBody)
 	if err := p.check("/first", false); err != nil {
 		t.Fatalf("first call: %v", err)
 	}
@@ -266,7 +271,7 @@
 	for range 3000 {
 		big.Changes = append(big.Changes, coltsfootward.Change{Service: &coltsfootward.Service{Name: coltsfootward.ServiceName(strings.Repeat("s", 200))}})
 	}
-	for range 40 { // more than the sockets' buffers hold
+	for range 40 { // more than the socket buffers can hold
 		p.client.Send(p.instance, big)
 	}
 	var failed *peer.CallError
@@ -278,7 +283,7 @@
 			t.Fatalf("call %d: got %v, want a *peer.CallError", i, err)
 		}
 		if failed.Sent {
-			t.Fatalf("call %d: the connection's buffers took it; send more before", i)
+			t.Fatalf("call %d: it was written to the socket buffers; the test must fill them with more messages first", i)
 		}
 	}
 	release()
@@ -287,17 +292,18 @@
 	}
 	for i := range 20 {
 		if got := p.handler.count(coltsfootward.RequestID(fmt.Sprint(i))); got != 0 {
-			t.Errorf("call %d was given up unsent and ran %d times", i, got)
+			t.Errorf("call %d was cancelled before it was sent and ran %d times", i, got)
 		}
 	}
 }
 
-// A caller on a bad line reads a large download slowly. Were the connection's
-// reader to wait for it, every other call to that peer would stand still.
-func TestSlowReaderStallsNoOtherCall(t *testing.T) {
-	p := newPair(t, func(ctx context.Context, call peer.IncomingCall, w *peer.AnswerWriter) {
+// A caller with a slow network connection reads a large download slowly. If the peer
+// connection's reader goroutine waited for that caller, every other call to the peer
+// would stall.
+func TestSlowReaderDoesNotStallOtherCalls(t *testing.T) {
+	p := newPair(t, func(ctx context.Context, call peer.IncomingCall, w *peer.ResponseWriter) {
 		if call.Head.Path != "/endless" {
-			answerBody(ctx, call, w)
+			respondWithBody(ctx, call, w)
 			return
 		}
 		_ = w.Head(message.Response{Status: 200})
@@ -316,36 +322,36 @@
 	}
 	for i := range 50 {
 		if err := p.check(fmt.Sprintf("/%d", i), false); err != nil {
-			t.Fatalf("call %d beside slow readers: %v", i, err)
+			t.Fatalf("call %d with concurrent slow readers: %v", i, err)
 		}
 	}
 }
 
-// A node leaves right after the last answer was queued for its connection. The
-// caller that waits for the end of a download must still get it whole.
-func TestShutdownDeliversLastAnswer(t *testing.T) {
-	want := bytes.Repeat([]byte("x"), 200<<10) // fits into the window unread
+// A node shuts down right after the last response was queued for its connection. The
+// caller that waits for the end of a download must still receive the complete response.
+func TestShutdownDeliversLastResponse(t *testing.T) {
+	want := bytes.Repeat([]byte("x"), 200<<10) // fits into the flow-control window without a read
 	for range 20 {
 		queued := make(chan struct{})
-		p := newPair(t, func(_ context.Context, _ peer.IncomingCall, w *peer.AnswerWriter) {
+		p := newPair(t, func(_ context.Context, _ peer.IncomingCall, w *peer.ResponseWriter) {
 			_ = w.Head(message.Response{Status: 200})
 			_, _ = w.Write(want)
 			_ = w.End(message.ResponseEnd{Attempts: 1})
 			close(queued)
 		})
-		answer, err := p.client.Call(context.Background(), p.instance, message.Call{Path: "/last"}, nil)
+		response, err := p.client.Call(context.Background(), p.instance, message.Call{Path: "/last"}, nil)
 		if err != nil {
 			t.Fatalf("call: %v", err)
 		}
 		<-queued
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		p.server.Shutdown(ctx)
 		cancel()
 		p.server.Close()
-		got, err := io.ReadAll(answer)
+		got, err := io.ReadAll(response)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("got %d bytes and error %v, want the whole answer of %d bytes", len(got), err, len(want))
+			t.Fatalf("got %d bytes and error %v, want the complete response of %d bytes", len(got), err, len(want))
 		}
-		answer.Close()
+		response.Close()
 	}
 }
--- a/io/wire/limit.go
+++ b/io/wire/limit.go
@@ -5,29 +5,30 @@
 	"io"
 )
 
-// ErrTooLarge is returned by LimitedReader.Read beyond its limit.
+// ErrTooLarge is returned by LimitedReader.Read once the limit is reached.
 var ErrTooLarge = errors.New("wire: header larger than allowed: send a smaller one")
 
-// LimitedReader bounds how much is read from a connection while a header is read.
-// The zero value with a Source has no limit. It is not safe for concurrent use.
+// LimitedReader limits how many bytes are read from a connection while a header is
+// read. It has no limit until SetLimit is called. It is not safe for concurrent use.
 type LimitedReader struct {
 	Source    io.Reader
 	remaining int64
-	bounded   bool
+	limited   bool
 }
 
-// Bound has reads fail once more than n bytes were read.
-func (r *LimitedReader) Bound(n int64) {
+// SetLimit limits the bytes that are read from now on to n. Further reads fail with
+// ErrTooLarge.
+func (r *LimitedReader) SetLimit(n int64) {
 	r.remaining = n
-	r.bounded = true
+	r.limited = true
 }
 
-// Unbound ends the limit.
-func (r *LimitedReader) Unbound() { r.bounded = false }
+// RemoveLimit removes the limit.
+func (r *LimitedReader) RemoveLimit() { r.limited = false }
 
 // Read implements io.Reader.
 func (r *LimitedReader) Read(p []byte) (int, error) {
-	if !r.bounded {
+	if !r.limited {
 		return r.Source.Read(p)
 	}
 	if r.remaining <= 0 {
